--- a/Source/Fleet/ControlInstance.cc
+++ b/Source/Fleet/ControlInstance.cc
@@ -11,18 +11,19 @@
 namespace {
 
 constexpr Milliseconds kHousekeepingInterval{500};
-/// A redirect names a leader that was heard within this time.
-constexpr Milliseconds kRedirectLimit{600};
+/// A call is redirected only to a leader whose last heartbeat is at most this
+/// old.
+constexpr Milliseconds kRedirectMaxSilence{600};
 constexpr Milliseconds kGoneRetention{90000};
 constexpr Milliseconds kSaveInterval{1000};
 constexpr Milliseconds kLease{600};
 constexpr Milliseconds kRestartWait{250};
 constexpr Milliseconds kElectionSpread{250};
 constexpr int kIntervalsUntilSilent = 5;
-/// Also where no lost disk has to be borne.
-constexpr std::uint32_t kFewestVoters = 3;
+/// Applies even if no disk loss has to be tolerated.
+constexpr std::uint32_t kMinVoters = 3;
 
-void TakeCommitted(ControlTurn& turn) {
+void ApplyCommittedRules(ControlTurn& turn) {
   ControlInstance& instance = turn.instance;
   const wire::RulesFile& file = instance.replica.committed.rules();
   const bool known =
@@ -33,7 +34,7 @@
   }
   const ParsedRules parsed = ParseRules(file.text(), "rules");
   if (!parsed.findings.empty()) {
-    // Only checked files are proposed, so another build has written this one.
+    // Only valid files are proposed, so a different build accepted this one.
     Log(turn, EventId::kRulesUnreadable,
         "version=" + std::to_string(file.version()) + " " +
             FormatFinding(parsed.findings.front()),
@@ -58,7 +59,7 @@
   void operator()(const ControlPersist& effect) {
     this->turn.effects.emplace_back(PersistRecord{.record = effect.record});
   }
-  void operator()(const ControlAdvanced&) { TakeCommitted(this->turn); }
+  void operator()(const ControlAdvanced&) { ApplyCommittedRules(this->turn); }
   void operator()(const ControlVerdict& effect) {
     HandleVerdict(this->turn, effect);
   }
@@ -81,7 +82,7 @@
   }
 }
 
-/// The voters as they stand in the log.
+/// Returns the addresses of the voters in the committed state.
 std::string FormatVoters(const wire::ControlState& state) {
   std::string text;
   for (const wire::Member& member : state.members()) {
@@ -93,32 +94,32 @@
 void LogVoters(ControlTurn& turn) {
   const wire::ControlState& state = turn.instance.replica.committed;
   std::string voters = FormatVoters(state);
-  if (voters == turn.instance.voters) {
+  if (voters == turn.instance.logged_voters) {
     return;
   }
   Log(turn, EventId::kVotersChanged,
-      "voters=" + voters + " before=" + turn.instance.voters +
+      "voters=" + voters + " before=" + turn.instance.logged_voters +
           " seq=" + std::to_string(state.seq()));
-  turn.instance.voters = std::move(voters);
+  turn.instance.logged_voters = std::move(voters);
 }
 
-/// Takes what was saved as reported long ago, so that servers that do not
-/// report again soon are taken for silent.
+/// Restores the saved registry with report times in the past, so that servers
+/// that do not report again soon are marked silent.
 void RestoreRegistry(ControlTurn& turn, const wire::SavedRegistry& saved) {
   ControlInstance& instance = turn.instance;
-  const TimePoint reported =
+  const TimePoint reported_at =
       turn.now - instance.config.announce_interval *
                      (kIntervalsUntilSilent - kIntervalsUntilSettled);
   for (wire::ServerRecord record : saved.servers()) {
-    record.set_failing(false);  // What is known of its flows was not kept.
+    record.set_failing(false);  // Flow outcomes are not saved.
     if (CheckRecord(record).empty()) {
-      MergeRecord(instance.registry, record, reported);
+      MergeRecord(instance.registry, record, reported_at);
     }
   }
   instance.settled = saved.servers_size() > 0;
-  instance.former_followers.insert(saved.followers().begin(),
-                                   saved.followers().end());
-  instance.saved_followers = instance.former_followers;
+  instance.previous_followers.insert(saved.followers().begin(),
+                                     saved.followers().end());
+  instance.saved_followers = instance.previous_followers;
   for (const InstanceAddress other : saved.control_instances()) {
     instance.sources[other].heard_at = turn.now;
     instance.saved_control_instances.insert(other);
@@ -129,15 +130,16 @@
 void SaveServers(ControlTurn& turn) {
   ControlInstance& instance = turn.instance;
   instance.save_at = turn.now + kSaveInterval;
-  std::set<InstanceAddress> followers = LiveFollowers(instance, turn.now);
-  // After a start they need time to find this instance again.
-  const bool fewer = std::includes(instance.saved_followers.begin(),
-                                   instance.saved_followers.end(),
-                                   followers.begin(), followers.end());
+  std::set<InstanceAddress> followers = ActiveFollowers(instance, turn.now);
+  // A set that has only shrunk is not saved: after a start, followers need time
+  // to find this instance again.
+  const bool no_new_follower = std::includes(
+      instance.saved_followers.begin(), instance.saved_followers.end(),
+      followers.begin(), followers.end());
   std::set<InstanceAddress> others = OtherControlInstances(instance, turn.now);
-  const bool same = instance.saved_change == instance.registry.change &&
-                    instance.saved_control_instances == others;
-  if (same && fewer) {
+  const bool unchanged = instance.saved_change == instance.registry.change &&
+                         instance.saved_control_instances == others;
+  if (unchanged && no_new_follower) {
     return;
   }
   instance.saved_change = instance.registry.change;
@@ -167,10 +169,10 @@
   if (turn.now >= instance.push_at) {
     PushUpdates(turn);
   }
-  AnswerFollowers(turn);
-  StepSubmissions(turn);
-  StepReports(turn);
-  StepOutcomes(turn);
+  AnswerFollowerRequests(turn);
+  RetrySubmissions(turn);
+  AnswerPendingReports(turn);
+  ProcessOutcomes(turn);
   if (turn.now >= instance.save_at) {
     SaveServers(turn);
   }
@@ -181,7 +183,7 @@
   const Milliseconds silence =
       instance.config.announce_interval * kIntervalsUntilSilent;
   if (MarkSilent(instance.registry, silence, turn.now) > 0) {
-    PushSoon(turn);
+    SchedulePush(turn);
   }
   ForgetGone(instance.registry, kGoneRetention, turn.now);
   std::erase_if(instance.subscribers, [&](const auto& item) {
@@ -189,10 +191,11 @@
   });
 }
 
-void TakeUpdate(ControlTurn& turn, InstanceAddress from, wire::Update update) {
+void UnpackUpdate(ControlTurn& turn, InstanceAddress from,
+                  wire::Update update) {
   if (!Unpack(update)) {
-    Log(turn, EventId::kMalformedInput, "an update of " + FormatIp(from),
-        Severity::kWarning);
+    Log(turn, EventId::kMalformedInput,
+        "malformed update from " + FormatIp(from), Severity::kWarning);
     return;
   }
   HandleUpdate(turn, from, update);
@@ -210,10 +213,10 @@
             " members=" +
             std::to_string(instance.replica.committed.members_size()) +
             " voter=" + std::to_string(IsVoter(instance.replica)));
-    TakeCommitted(this->turn);
+    ApplyCommittedRules(this->turn);
     RunReplica(this->turn, ControlStarted{});
     SubscribeToOthers(this->turn);
-    TellFollowers(this->turn);
+    SendSummaryToFollowers(this->turn);
   }
   void operator()(const ControlInstanceDue&) { HandleDue(this->turn); }
   void operator()(const PeerMessage& event) {
@@ -221,11 +224,11 @@
     if (message.has_control()) {
       RunReplica(this->turn, ControlReceived{.from = event.from,
                                              .message = message.control()});
-      StepSubmissions(this->turn);
+      RetrySubmissions(this->turn);
     } else if (message.has_subscribe()) {
       HandleSubscribe(this->turn, event.from, message.subscribe());
     } else if (message.has_update()) {
-      TakeUpdate(this->turn, event.from, message.update());
+      UnpackUpdate(this->turn, event.from, message.update());
     } else if (message.has_outcomes()) {
       HandleOutcomes(this->turn, message.outcomes());
     }
@@ -291,9 +294,9 @@
   }
 }
 
-InstanceAddress KnownLeader(const ControlTurn& turn) {
+InstanceAddress RedirectTarget(const ControlTurn& turn) {
   const Replica& replica = turn.instance.replica;
-  const bool heard = turn.now - replica.leader_heard_at <= kRedirectLimit;
+  const bool heard = turn.now - replica.leader_heard_at <= kRedirectMaxSilence;
   const bool other = replica.leader != turn.instance.config.self;
   return heard && other && !turn.instance.disk_failed ? replica.leader : 0;
 }
@@ -308,8 +311,7 @@
   replica.lease = kLease;
   replica.restart_wait = kRestartWait;
   replica.election_spread = kElectionSpread;
-  replica.least_voters =
-      std::max(kFewestVoters, 2 * config.tolerated_losses + 1);
+  replica.least_voters = std::max(kMinVoters, 2 * config.tolerated_losses + 1);
   for (const wire::DurableRecord& record : log) {
     Restore(instance.replica, record);
   }
@@ -329,17 +331,17 @@
   const Replica& replica = instance.replica;
   TimePoint due = std::min(
       {instance.subscribe_at, instance.push_at, instance.housekeeping_at,
-       instance.outcomes.judge_at, NextDue(instance.questions)});
+       instance.outcomes.evaluate_at, NextDue(instance.follower_queue)});
   if (!instance.disk_failed) {
     const bool leads = replica.role == ReplicaRole::kLeader;
     const TimePoint follower_due =
         IsVoter(replica) ? replica.election_at : replica.join_at;
     due = std::min(due, leads ? replica.heartbeat_at : follower_due);
   }
-  for (const WaitingSubmission& submission : instance.submissions) {
+  for (const PendingSubmission& submission : instance.submissions) {
     due = std::min(due, submission.expires_at);
   }
-  for (const WaitingReport& report : instance.reports) {
+  for (const PendingReport& report : instance.reports) {
     due = std::min(due, report.expires_at);
   }
   return due;
--- a/Source/Fleet/ControlInstance.h
+++ b/Source/Fleet/ControlInstance.h
@@ -17,46 +17,48 @@
 #include "Outcomes/Outcomes.h"
 #include "Registry/Registry.h"
 
-/// A control instance of a fleet: agrees with the others on the rules, hears
-/// backend servers, and tells the entry instances of both.
+/// A control instance of a fleet: agrees with the other control instances on
+/// the rules, receives reports of backend servers, and distributes both to the
+/// entry instances.
 ///
 /// A reducer without clock, socket, disk or random source. Not thread safe.
 namespace filbertwall {
 
-/// A call from outside that waits for its answer.
+/// Identifies an external call that waits for its answer.
 using CallId = std::uint64_t;
 
-/// An instance that asked to be told of changes.
+/// An instance that subscribed to changes.
 struct Subscriber {
   std::uint64_t rules_version = 0;
-  std::uint64_t registry_change = 0;  ///< All up to it has arrived there.
+  std::uint64_t registry_change = 0;  ///< All changes up to it were received.
   bool control = false;
   bool rules_wanted = false;
-  TimePoint heard_at;
-  TimePoint heard_told_at;  ///< When it was told which servers report here.
-  TimePoint batch_until;    ///< It asks for more records before then.
+  TimePoint heard_at;       ///< When its last request was processed.
+  TimePoint heard_sent_at;  ///< When it was last sent `Update.heard`.
+  TimePoint next_batch_by;  ///< Its request for more records is expected then.
 };
 
-/// Another control instance as a source of records.
+/// Another control instance, from which records are received.
 struct RegistrySource {
   RegistryPosition position;
   std::string data_centre;
-  TimePoint heard_at;
-  wire::Knowledge knowledge;  ///< What it last said that it knows.
-  TimePoint knowledge_at;
+  TimePoint heard_at;         ///< When it was last known to be running.
+  wire::Knowledge knowledge;  ///< As last received; `instance` 0 if never.
+  TimePoint knowledge_at;     ///< When `knowledge` was received.
 };
 
-/// A rules file on its way to its verdict.
-struct WaitingSubmission {
+/// A submitted rules file that waits for a leader.
+struct PendingSubmission {
   CallId call = 0;
   wire::RulesFile file;
   TimePoint expires_at;
 };
 
-/// A call that is answered once another control instance has the record.
-struct WaitingReport {
+/// A server's report that is answered once another control instance has the
+/// record.
+struct PendingReport {
   CallId call = 0;
-  std::uint64_t change = 0;
+  std::uint64_t change = 0;  ///< Registry change to be confirmed.
   TimePoint expires_at;
 };
 
@@ -67,15 +69,16 @@
   std::uint64_t elections_won = 0;
 };
 
-/// How flows of the backend servers went, and what is to be passed on of it.
+/// Flow outcomes of the backend servers, and those to be forwarded to other
+/// control instances.
 struct ServerOutcomes {
   OutcomeLedger ledger;
-  std::map<std::string, wire::ServerOutcome> not_passed_on;
-  std::set<std::string> failing;  ///< Servers that are marked so.
-  TimePoint judge_at = TimePoint::max();
+  std::map<std::string, wire::ServerOutcome> to_forward;
+  std::set<std::string> failing;  ///< Servers marked as failing.
+  TimePoint evaluate_at = TimePoint::max();
 };
 
-/// A rules file that was proposed here.
+/// A rules file that this instance proposed as leader.
 struct Proposal {
   CallId call = 0;
   TimePoint proposed_at;
@@ -86,55 +89,59 @@
   Replica replica;
   Registry registry;
   RouteHistory history;
-  PackedContents packed;
-  FollowerQueue questions;
+  PackedContents packed_contents;
+  FollowerQueue follower_queue;
   std::map<InstanceAddress, Subscriber> subscribers;
   std::map<InstanceAddress, RegistrySource> sources;
   std::map<std::uint64_t, Proposal> proposals;  ///< By token.
-  std::deque<WaitingSubmission> submissions;    ///< Until a leader is known.
-  std::deque<WaitingReport> reports;
+  std::deque<PendingSubmission> submissions;    ///< Waiting for a leader.
+  std::deque<PendingReport> reports;
   ServerOutcomes outcomes;
-  std::string voters;  ///< As last logged.
+  std::string logged_voters;  ///< Voters as last logged.
   std::uint64_t next_token = 1;
   TimePoint started_at;
   TimePoint subscribe_at;
-  TimePoint push_at;  ///< Far in the future when nothing is to be pushed.
+  TimePoint push_at;  ///< `kNever` when no push is scheduled.
   TimePoint pushed_at;
   TimePoint housekeeping_at;
   TimePoint save_at;
-  std::uint64_t saved_change = 0;  ///< The registry's change last saved.
+  std::uint64_t saved_change = 0;  ///< Registry change last saved.
   std::set<InstanceAddress> saved_followers;
   std::set<InstanceAddress> saved_control_instances;
-  /// Entry instances that were told of changes before this start.
-  std::set<InstanceAddress> former_followers;
-  bool settled = false;  ///< Knows the backend servers since its start.
+  /// Entry instances that were subscribed before this start.
+  std::set<InstanceAddress> previous_followers;
+  bool settled = false;  ///< The registry is considered complete.
   bool stopping = false;
-  bool disk_failed = false;  ///< Takes no part in agreement meanwhile.
+  bool disk_failed = false;  ///< The replica is not run while set.
   ControlCounters counters;
   Histogram commit_time;
 };
 
-/// `saved` is what the disk remembers of backend servers, if anything.
+/// `saved` is the registry saved before the start; empty if there was none.
 struct ControlInstanceStarted {
   wire::SavedRegistry saved;
 };
+/// The time of `NextDue` was reached.
 struct ControlInstanceDue {};
-/// A backend server says what it is and how it is.
+/// A backend server reported its record.
 struct ServerReported {
   CallId call = 0;
   wire::ServerRecord record;
 };
+/// A client submitted a rules file.
 struct RulesSubmitted {
   CallId call = 0;
   wire::RulesFile file;
 };
+/// A client requested the current rules file.
 struct RulesRead {
   CallId call = 0;
 };
 struct ControlStopRequested {};
-/// The disk takes no writes; the log may end anywhere after what was synced.
+/// Writes to the disk fail; the log may end anywhere after the last synced
+/// record.
 struct ControlDiskFailed {};
-/// The disk works again; `log` is all that it holds.
+/// The disk accepts writes again; `log` is its whole content.
 struct ControlDiskRestored {
   std::vector<wire::DurableRecord> log;
 };
@@ -144,13 +151,13 @@
                  ControlStopRequested, ControlDiskFailed, ControlDiskRestored>;
 
 enum class CallVerdict {
-  kAccepted,     ///< Done, or has no effect and needs none.
-  kRefused,      ///< Never will be done as asked.
-  kUnavailable,  ///< Not known here; another instance may know.
-  kRedirected,   ///< The instance in `leader` can tell.
+  kAccepted,     ///< Done, or nothing was left to do.
+  kRefused,      ///< Invalid; a retry will not succeed.
+  kUnavailable,  ///< Can't be answered here; another instance may.
+  kRedirected,   ///< The instance in `leader` can answer.
 };
 
-/// Answers a call from outside.
+/// Answers an external call.
 struct AnswerCall {
   CallId call = 0;
   CallVerdict verdict = CallVerdict::kUnavailable;
@@ -159,12 +166,13 @@
   InstanceAddress report_next = 0;  ///< Where a server should report next.
   std::string reason;
 };
-/// Must be synced before any later effect of the same list is carried out.
+/// Appends a record to the log. It must be synced before any later effect of
+/// the same list is carried out.
 struct PersistRecord {
   wire::DurableRecord record;
 };
-/// Keeps the backend servers for the next start. Nothing relies on it: what is
-/// saved counts only until the servers have had time to report.
+/// Saves the backend servers for the next start. Correctness does not depend on
+/// the saved data: it is used only until the servers have had time to report.
 struct SaveRegistry {
   wire::SavedRegistry saved;
 };
@@ -172,20 +180,21 @@
     std::variant<SendMessage, AnswerCall, PersistRecord, SaveRegistry,
                  LogRecord>;
 
-/// Makes an instance from what its disk holds.
+/// Creates an instance from the log on its disk.
 ControlInstance MakeControlInstance(
     const FleetConfig& config, const std::vector<wire::DurableRecord>& log);
 
-/// Applies one event. Precondition: `now` never goes back.
+/// Applies one event. Precondition: `now` does not decrease between calls.
 std::vector<ControlInstanceEffect> Reduce(ControlInstance& instance,
                                           const ControlInstanceEvent& event,
                                           TimePoint now);
 
-/// When `ControlInstanceDue` is next of use.
+/// Returns when `ControlInstanceDue` is to be applied next.
 TimePoint NextDue(const ControlInstance& instance);
 
-/// Records that start a log on an empty disk: a founder's when this is the
-/// first start of the fleet and it is among the seeds, else a blank one.
+/// Returns the first record of the log on an empty disk. On the first start of
+/// the fleet, a seed gets a record with the seeds as its founding members; any
+/// other instance gets a record with only its incarnation.
 wire::DurableRecord FirstRecord(const FleetConfig& config, bool first_start);
 
 }  // namespace filbertwall
--- a/Source/Fleet/ControlTurn.h
+++ b/Source/Fleet/ControlTurn.h
@@ -6,15 +6,17 @@
 
 #include "Fleet/ControlInstance.h"
 
-/// Internal to Fleet: the steps that the reducers of a control instance share.
+/// Internal to Fleet: functions shared by the source files that implement the
+/// reducer of a control instance.
 namespace filbertwall {
 
 inline constexpr TimePoint kNever = TimePoint::max();
 
-/// Report intervals until an instance that has just started knows the backend
-/// servers, since each has reported by then.
+/// Number of report intervals after which an instance that has just started
+/// considers its registry complete: each backend server has reported by then.
 inline constexpr int kIntervalsUntilSettled = 2;
 
+/// Context of one reducer call.
 struct ControlTurn {
   ControlInstance& instance;
   TimePoint now;
@@ -24,52 +26,61 @@
 void Log(ControlTurn& turn, EventId id, const std::string& text,
          Severity severity = Severity::kInfo);
 void Answer(ControlTurn& turn, AnswerCall answer);
-/// Runs the replica and carries its effects on.
+/// Applies an event to the replica and handles the effects. Does nothing while
+/// the disk has failed.
 void RunReplica(ControlTurn& turn, const ControlEvent& event);
 
-/// The leader as far as this instance may say; 0 when there is none.
-InstanceAddress KnownLeader(const ControlTurn& turn);
+/// Returns the leader to which a call can be redirected: another instance from
+/// which a heartbeat arrived recently. Returns 0 when there is none.
+InstanceAddress RedirectTarget(const ControlTurn& turn);
 
-/// Tells those who do not know all yet, at once or with what comes next.
+/// Sends updates to all subscribers that lack changes.
 void PushUpdates(ControlTurn& turn);
-void PushSoon(ControlTurn& turn);
-/// Tells the other control instances at once: one of them must know before a
-/// leaving server is answered.
-void PushToControl(ControlTurn& turn);
-/// Tells entry instances what is known here, without contents: those that are
-/// told of changes, and after a start those that were before it.
-void TellFollowers(ControlTurn& turn);
-/// Entry instances that asked lately.
-std::set<InstanceAddress> LiveFollowers(const ControlInstance& instance,
-                                        TimePoint now);
-/// The other control instances that are known here, also those that do not
-/// vote: servers and entry instances come to them as well.
+/// Schedules `PushUpdates` after a short delay, to batch changes.
+void SchedulePush(ControlTurn& turn);
+/// Sends updates to the subscribed control instances without delay: one of them
+/// must have the record of a server that is not ready before the server's
+/// report is answered.
+void PushToControlInstances(ControlTurn& turn);
+/// Sends a summary, without contents, to all entry instances that are active
+/// subscribers and, shortly after a start, to those that were subscribers
+/// before it.
+void SendSummaryToFollowers(ControlTurn& turn);
+/// Returns the entry instances that subscribed recently.
+std::set<InstanceAddress> ActiveFollowers(const ControlInstance& instance,
+                                          TimePoint now);
+/// Returns the other known control instances. Includes non-voters, since
+/// servers and entry instances connect to them as well.
 std::set<InstanceAddress> OtherControlInstances(const ControlInstance& instance,
                                                 TimePoint now);
-/// Asks the other control instances for what they know.
+/// Requests records and knowledge from the other control instances.
 void SubscribeToOthers(ControlTurn& turn);
 void HandleSubscribe(ControlTurn& turn, InstanceAddress from,
                      const wire::Subscribe& subscribe);
-/// Answers the entry instances whose turn it is.
-void AnswerFollowers(ControlTurn& turn);
+/// Answers queued requests of entry instances, as many as the queue allows.
+void AnswerFollowerRequests(ControlTurn& turn);
 void HandleUpdate(ControlTurn& turn, InstanceAddress from,
                   const wire::Update& update);
 
 void LogServer(ControlTurn& turn, const wire::ServerRecord& record,
                const std::string& source);
 void HandleReport(ControlTurn& turn, const ServerReported& event);
-/// Answers the reports that another control instance has by now.
-void StepReports(ControlTurn& turn);
+/// Answers the reports that another control instance has confirmed, and those
+/// that expired.
+void AnswerPendingReports(ControlTurn& turn);
 
-/// Takes how flows went, from an entry instance or another control instance.
+/// Adds flow outcomes received from an entry instance or another control
+/// instance.
 void HandleOutcomes(ControlTurn& turn, const wire::Outcomes& outcomes);
-/// Passes outcomes on and marks the servers that fail their callers, when due.
-void StepOutcomes(ControlTurn& turn);
+/// When due, forwards outcomes to the other control instances and updates which
+/// servers are marked as failing.
+void ProcessOutcomes(ControlTurn& turn);
 
 void HandleSubmitted(ControlTurn& turn, const RulesSubmitted& event);
 void HandleRead(ControlTurn& turn, const RulesRead& event);
 void HandleVerdict(ControlTurn& turn, const ControlVerdict& verdict);
-/// Tries the submissions that wait for a leader; gives up on the expired.
-void StepSubmissions(ControlTurn& turn);
+/// Retries the submissions that wait for a leader and answers expired ones as
+/// unavailable.
+void RetrySubmissions(ControlTurn& turn);
 
 }  // namespace filbertwall
--- a/Source/Fleet/ControlUpdates.cc
+++ b/Source/Fleet/ControlUpdates.cc
@@ -3,38 +3,45 @@
 #include "Base/Endpoint.h"
 #include "Fleet/ControlTurn.h"
 
-/// What control instances tell each other and the entry instances.
+/// Updates that control instances send to each other and to entry instances.
 namespace filbertwall {
 namespace {
 
 constexpr Milliseconds kSubscribeInterval{1000};
 constexpr Milliseconds kPushDelay{15};
-/// A follower takes a part of the time between two rounds of changes.
-constexpr Milliseconds kPushTime{1};
+/// The pause between two pushes is at least this long for each subscriber.
+constexpr Milliseconds kPushIntervalPerSubscriber{1};
 constexpr Milliseconds kSubscriberTimeout{3000};
-/// Backend servers in one update; a receiver that lacks more asks again.
-constexpr std::size_t kMostRecords = 400;
-/// A receiver that is being sent many records asks for the next within this
-/// time.
-constexpr Milliseconds kNextBatchTime{150};
-/// Words of other control instances are passed on for this long.
+/// Limit of backend servers in one update; a receiver that lacks more requests
+/// them.
+constexpr std::size_t kMaxRecordsPerUpdate = 400;
+/// A receiver of a partial update is expected to request the next records
+/// within this time.
+constexpr Milliseconds kNextBatchTimeout{150};
+/// Knowledge of other control instances is forwarded for this long after it was
+/// received.
 constexpr Milliseconds kKnowledgeLifetime{1200};
-/// Entry instances of before a restart ask by themselves after this time.
-constexpr Milliseconds kFormerFollowerTime{3000};
-/// Which servers reported here is told to each control instance this often.
-constexpr Milliseconds kHeardInterval{900};
-/// Another control instance is asked for what it knows until it was silent for
-/// this long.
+/// Entry instances that subscribed before a restart of this instance are sent
+/// summaries for this long after it; later they have subscribed again by
+/// themselves.
+constexpr Milliseconds kPreviousFollowerLifetime{3000};
+/// Interval at which each control instance is sent the list of servers that
+/// reported here.
+constexpr Milliseconds kHeardListInterval{900};
+/// Another control instance counts as known until nothing was received from it
+/// for this long.
 constexpr Milliseconds kSourceLifetime{5000};
-/// A follower speaks for the leader this long after its last heartbeat.
-constexpr Milliseconds kFreshLimit{400};
+/// The committed state counts as fresh for this long after it was confirmed as
+/// the newest one.
+constexpr Milliseconds kFreshnessLimit{400};
 
-/// Whether it asked lately, so that it is worth telling.
-bool IsAlive(const Subscriber& subscriber, TimePoint now) {
+/// Returns whether the subscriber sent a request recently.
+bool IsActive(const Subscriber& subscriber, TimePoint now) {
   return now - subscriber.heard_at <= kSubscriberTimeout;
 }
 
-bool IsSettledNow(ControlTurn& turn) {
+/// Updates `settled` and returns it.
+bool CheckSettled(ControlTurn& turn) {
   ControlInstance& instance = turn.instance;
   const Milliseconds limit =
       instance.config.announce_interval * kIntervalsUntilSettled;
@@ -61,12 +68,12 @@
   return knowledge;
 }
 
-/// Control instances that asked lately and do not vote.
-std::set<InstanceAddress> LiveStandbys(const ControlInstance& instance,
-                                       TimePoint now) {
+/// Returns the control instances that subscribed recently and do not vote.
+std::set<InstanceAddress> ActiveStandbys(const ControlInstance& instance,
+                                         TimePoint now) {
   std::set<InstanceAddress> standbys;
   for (const auto& [address, subscriber] : instance.subscribers) {
-    if (subscriber.control && IsAlive(subscriber, now)) {
+    if (subscriber.control && IsActive(subscriber, now)) {
       standbys.insert(address);
     }
   }
@@ -76,18 +83,19 @@
   return standbys;
 }
 
-/// What this instance knows, without the contents.
+/// Returns an update without contents: only the versions and instances that are
+/// known here.
 wire::Update MakeSummary(ControlTurn& turn) {
   ControlInstance& instance = turn.instance;
   const wire::ControlState& state = instance.replica.committed;
   wire::Update update;
   update.set_fresh(!instance.disk_failed &&
-                   KnowsNewest(instance.replica, turn.now, kFreshLimit));
-  update.set_settled(IsSettledNow(turn));
+                   KnowsNewest(instance.replica, turn.now, kFreshnessLimit));
+  update.set_settled(CheckSettled(turn));
   for (const wire::Member& member : state.members()) {
     update.add_control_instances(member.instance());
   }
-  for (const InstanceAddress standby : LiveStandbys(instance, turn.now)) {
+  for (const InstanceAddress standby : ActiveStandbys(instance, turn.now)) {
     update.add_standbys(standby);
   }
   update.set_data_centre(instance.config.data_centre);
@@ -106,21 +114,22 @@
   wire::Update update = MakeSummary(turn);
   update.set_registry_epoch(instance.config.incarnation);
   update.set_registry_from(subscriber.registry_change);
-  const PackedRecords& records =
-      PackRecordsAfter(instance.packed, instance.registry,
-                       subscriber.registry_change, kMostRecords, turn.now);
+  const PackedRecords& records = PackRecordsAfter(
+      instance.packed_contents, instance.registry, subscriber.registry_change,
+      kMaxRecordsPerUpdate, turn.now);
   update.set_registry_change(records.change);
   update.set_partial(!records.complete);
   update.set_packed_servers(records.bytes);
   if (subscriber.rules_wanted) {
-    update.set_packed_routes(PackRoutesSince(instance.packed, instance.history,
-                                             subscriber.rules_version));
+    update.set_packed_routes(PackRoutesSince(
+        instance.packed_contents, instance.history, subscriber.rules_version));
   }
   return update;
 }
 
-/// Says what this instance and others that it hears know, without contents.
-void SendBrief(ControlTurn& turn, InstanceAddress to) {
+/// Sends an update without contents, with the knowledge of this instance and of
+/// the control instances from which it was received recently.
+void SendSummary(ControlTurn& turn, InstanceAddress to) {
   wire::FleetMessage message;
   *message.mutable_update() = MakeSummary(turn);
   for (const auto& [address, source] : turn.instance.sources) {
@@ -133,12 +142,14 @@
       SendMessage{.to = to, .message = std::move(message)});
 }
 
-/// Tells another control instance which servers reported here lately.
-void AddHeard(ControlTurn& turn, Subscriber& subscriber, wire::Update& update) {
-  if (turn.now - subscriber.heard_told_at < kHeardInterval) {
+/// Adds the ids of the servers that reported here recently to an update for
+/// another control instance, if the interval since the last list has passed.
+void AddHeardList(ControlTurn& turn, Subscriber& subscriber,
+                  wire::Update& update) {
+  if (turn.now - subscriber.heard_sent_at < kHeardListInterval) {
     return;
   }
-  subscriber.heard_told_at = turn.now;
+  subscriber.heard_sent_at = turn.now;
   const Milliseconds lately = kSubscribeInterval * 2;
   for (const auto& [id, server] : turn.instance.registry.servers) {
     if (turn.now - server.reported_at <= lately) {
@@ -153,60 +164,63 @@
   wire::Update& update = *message.mutable_update();
   update.set_confirm(update.partial() ||
                      (subscriber.control && !update.packed_servers().empty()));
-  subscriber.batch_until =
-      update.partial() ? turn.now + kNextBatchTime : TimePoint();
+  subscriber.next_batch_by =
+      update.partial() ? turn.now + kNextBatchTimeout : TimePoint();
   if (subscriber.control) {
-    AddHeard(turn, subscriber, update);
+    AddHeardList(turn, subscriber, update);
   }
   turn.effects.emplace_back(
       SendMessage{.to = to, .message = std::move(message)});
 }
 
-/// Whether it lacks something and does not ask for it by itself.
-bool IsBehind(const ControlInstance& instance, const Subscriber& subscriber,
-              TimePoint now) {
+/// Returns whether the subscriber lacks changes and is not about to request
+/// them.
+bool NeedsPush(const ControlInstance& instance, const Subscriber& subscriber,
+               TimePoint now) {
   const std::uint64_t version = instance.replica.committed.rules().version();
   const bool behind =
       subscriber.registry_change < instance.registry.change ||
       (subscriber.rules_wanted && subscriber.rules_version < version);
-  // One that is being sent many records will ask for what is new with them.
-  const bool asks_soon = now < subscriber.batch_until;
-  return behind && !asks_soon && IsAlive(subscriber, now);
+  // After a partial update the receiver requests the next records, and gets new
+  // changes with them.
+  const bool request_expected = now < subscriber.next_batch_by;
+  return behind && !request_expected && IsActive(subscriber, now);
 }
 
-/// Takes what another control instance says that it knows. When it was away,
-/// entry instances are told at once, since they may wait for a majority.
-void TakeKnowledge(ControlTurn& turn, InstanceAddress from,
-                   const wire::Knowledge& knowledge) {
+/// Stores the knowledge of another control instance. If none was received from
+/// it recently, entry instances are sent a summary at once, since they may wait
+/// for a majority.
+void RecordKnowledge(ControlTurn& turn, InstanceAddress from,
+                     const wire::Knowledge& knowledge) {
   RegistrySource& source = turn.instance.sources[from];
-  const bool returned = source.knowledge.instance() == 0 ||
-                        turn.now - source.knowledge_at > kKnowledgeLifetime;
+  const bool is_back = source.knowledge.instance() == 0 ||
+                       turn.now - source.knowledge_at > kKnowledgeLifetime;
   source.knowledge = knowledge;
   source.knowledge.set_instance(from);
   source.knowledge_at = turn.now;
-  if (returned) {
-    TellFollowers(turn);
+  if (is_back) {
+    SendSummaryToFollowers(turn);
   }
 }
 
 }  // namespace
 
-void TellFollowers(ControlTurn& turn) {
+void SendSummaryToFollowers(ControlTurn& turn) {
   ControlInstance& instance = turn.instance;
-  std::set<InstanceAddress> followers = LiveFollowers(instance, turn.now);
-  if (turn.now - instance.started_at <= kFormerFollowerTime) {
-    followers.insert(instance.former_followers.begin(),
-                     instance.former_followers.end());
+  std::set<InstanceAddress> followers = ActiveFollowers(instance, turn.now);
+  if (turn.now - instance.started_at <= kPreviousFollowerLifetime) {
+    followers.insert(instance.previous_followers.begin(),
+                     instance.previous_followers.end());
   }
   for (const InstanceAddress follower : followers) {
-    SendBrief(turn, follower);
+    SendSummary(turn, follower);
   }
 }
 
 std::set<InstanceAddress> OtherControlInstances(const ControlInstance& instance,
                                                 TimePoint now) {
   std::set<InstanceAddress> others = instance.config.seeds;
-  others.merge(LiveStandbys(instance, now));
+  others.merge(ActiveStandbys(instance, now));
   for (const auto& [address, source] : instance.sources) {
     if (now - source.heard_at <= kSourceLifetime) {
       others.insert(address);
@@ -219,11 +233,11 @@
   return others;
 }
 
-std::set<InstanceAddress> LiveFollowers(const ControlInstance& instance,
-                                        TimePoint now) {
+std::set<InstanceAddress> ActiveFollowers(const ControlInstance& instance,
+                                          TimePoint now) {
   std::set<InstanceAddress> followers;
   for (const auto& [address, subscriber] : instance.subscribers) {
-    if (!subscriber.control && IsAlive(subscriber, now)) {
+    if (!subscriber.control && IsActive(subscriber, now)) {
       followers.insert(address);
     }
   }
@@ -235,26 +249,28 @@
   instance.push_at = kNever;
   instance.pushed_at = turn.now;
   for (auto& [address, subscriber] : instance.subscribers) {
-    if (IsBehind(instance, subscriber, turn.now)) {
+    if (NeedsPush(instance, subscriber, turn.now)) {
       SendUpdate(turn, address, subscriber);
     }
   }
 }
 
-void PushToControl(ControlTurn& turn) {
+void PushToControlInstances(ControlTurn& turn) {
   ControlInstance& instance = turn.instance;
   for (auto& [address, subscriber] : instance.subscribers) {
-    if (subscriber.control && IsBehind(instance, subscriber, turn.now)) {
+    if (subscriber.control && NeedsPush(instance, subscriber, turn.now)) {
       SendUpdate(turn, address, subscriber);
     }
   }
 }
 
-void PushSoon(ControlTurn& turn) {
+void SchedulePush(ControlTurn& turn) {
   ControlInstance& instance = turn.instance;
-  // What changes meanwhile goes with it, so that many followers do not take
-  // the time of all else when servers change all the time.
-  const Milliseconds pause = kPushTime * instance.subscribers.size();
+  // Changes in the meantime are sent with the same push. The pause grows with
+  // the number of subscribers, so that pushes to many of them leave time for
+  // other work when servers change continually.
+  const Milliseconds pause =
+      kPushIntervalPerSubscriber * instance.subscribers.size();
   const TimePoint due =
       std::max(turn.now + kPushDelay, instance.pushed_at + pause);
   instance.push_at = std::min(instance.push_at, due);
@@ -280,7 +296,7 @@
 
 namespace {
 
-/// Answers a question for what has changed.
+/// Answers a request for all changes since the versions of the sender.
 void AnswerSubscribe(ControlTurn& turn, InstanceAddress from,
                      const wire::Subscribe& subscribe) {
   ControlInstance& instance = turn.instance;
@@ -295,23 +311,23 @@
                           .control = subscribe.control(),
                           .rules_wanted = subscribe.rules_wanted(),
                           .heard_at = turn.now,
-                          .heard_told_at = subscriber.heard_told_at};
-  StepReports(turn);
+                          .heard_sent_at = subscriber.heard_sent_at};
+  AnswerPendingReports(turn);
   const bool complete = change == instance.registry.change;
   if (subscribe.control() && is_confirmation && complete) {
-    return;  // It only confirms what it was sent.
+    return;  // The message only confirms a sent update.
   }
   SendUpdate(turn, from, subscriber);
 }
 
 }  // namespace
 
-void AnswerFollowers(ControlTurn& turn) {
-  while (const auto question = TakeNext(turn.instance.questions, turn.now)) {
-    if (question->subscribe.brief()) {
-      SendBrief(turn, question->from);
+void AnswerFollowerRequests(ControlTurn& turn) {
+  while (const auto request = Dequeue(turn.instance.follower_queue, turn.now)) {
+    if (request->subscribe.brief()) {
+      SendSummary(turn, request->from);
     } else {
-      AnswerSubscribe(turn, question->from, question->subscribe);
+      AnswerSubscribe(turn, request->from, request->subscribe);
     }
   }
 }
@@ -320,15 +336,15 @@
                      const wire::Subscribe& subscribe) {
   HandleOutcomes(turn, subscribe.outcomes());
   if (subscribe.has_knowledge()) {
-    TakeKnowledge(turn, from, subscribe.knowledge());
+    RecordKnowledge(turn, from, subscribe.knowledge());
   }
   if (subscribe.control()) {
     AnswerSubscribe(turn, from, subscribe);
     return;
   }
-  Enqueue(turn.instance.questions,
-          FollowerQuestion{.from = from, .subscribe = subscribe}, turn.now);
-  AnswerFollowers(turn);
+  Enqueue(turn.instance.follower_queue,
+          FollowerRequest{.from = from, .subscribe = subscribe}, turn.now);
+  AnswerFollowerRequests(turn);
 }
 
 void HandleUpdate(ControlTurn& turn, InstanceAddress from,
@@ -338,7 +354,7 @@
   source.heard_at = turn.now;
   source.data_centre = update.data_centre();
   for (const InstanceAddress address : update.control_instances()) {
-    // The leader may be none of the seeds, and has to be asked to join.
+    // The leader may not be a seed, and a request to join must reach it.
     if (address != instance.config.self) {
       instance.replica.config.control_instances.insert(address);
     }
@@ -350,7 +366,8 @@
   }
   bool changed = false;
   for (wire::ServerRecord record : update.servers()) {
-    // Each control instance judges silence by itself.
+    // Each control instance decides by itself which servers are silent. The
+    // mark set here is kept until the server sends a new sequence.
     record.set_silent(false);
     const auto known = instance.registry.servers.find(record.id());
     const bool silent = known != instance.registry.servers.end() &&
@@ -369,11 +386,11 @@
     NoteHeard(instance.registry, id, turn.now);
   }
   if (changed || instance.registry.change != before) {
-    PushSoon(turn);
+    SchedulePush(turn);
   }
   NoteContents(source.position, update);
   instance.settled = instance.settled || update.settled();
-  TakeKnowledge(turn, from, KnowledgeIn(update));
+  RecordKnowledge(turn, from, KnowledgeIn(update));
   if (update.confirm()) {
     wire::FleetMessage message;
     wire::Subscribe& subscribe = *message.mutable_subscribe();
--- a/Source/Fleet/FollowerQueue.cc
+++ b/Source/Fleet/FollowerQueue.cc
@@ -5,66 +5,67 @@
 namespace filbertwall {
 namespace {
 
-constexpr Milliseconds kTurn{5};
-constexpr std::uint32_t kLeastBudget = 4;
-constexpr std::uint32_t kMostBudget = 32;
-/// A turn that begins this much later than it was due shows a busy loop.
-constexpr Milliseconds kLate{4};
-/// Contents take as long as so many brief answers.
-constexpr std::uint32_t kContentsCost = 2;
+constexpr Milliseconds kInterval{5};
+constexpr std::uint32_t kMinBudget = 4;
+constexpr std::uint32_t kMaxBudget = 32;
+/// The event loop is considered busy when an interval starts more than this
+/// after the end of the previous one.
+constexpr Milliseconds kLateThreshold{4};
+/// Cost of an answer with full contents, relative to a summary.
+constexpr std::uint32_t kFullAnswerCost = 2;
 
-void BeginTurn(FollowerQueue& queue, TimePoint now) {
-  queue.turn_ends_at = now + kTurn;
+void BeginInterval(FollowerQueue& queue, TimePoint now) {
+  queue.interval_ends_at = now + kInterval;
   queue.spent = 0;
 }
 
 void AdaptBudget(FollowerQueue& queue, TimePoint now) {
-  const bool late = now - queue.turn_ends_at > kLate;
-  queue.budget = late ? std::max(kLeastBudget, queue.budget / 2)
-                      : std::min(kMostBudget, queue.budget + 1);
+  const bool late = now - queue.interval_ends_at > kLateThreshold;
+  queue.budget = late ? std::max(kMinBudget, queue.budget / 2)
+                      : std::min(kMaxBudget, queue.budget + 1);
 }
 
 }  // namespace
 
-void Enqueue(FollowerQueue& queue, const FollowerQuestion& question,
+void Enqueue(FollowerQueue& queue, const FollowerRequest& request,
              TimePoint now) {
-  if (queue.order.empty() && now >= queue.turn_ends_at) {
-    BeginTurn(queue, now);
+  if (queue.order.empty() && now >= queue.interval_ends_at) {
+    BeginInterval(queue, now);
   }
-  const auto [position, added] = queue.waiting.try_emplace(question.from);
+  const auto [position, added] = queue.pending.try_emplace(request.from);
   if (added) {
-    queue.order.push_back(question.from);
+    queue.order.push_back(request.from);
   } else {
-    queue.replaced += 1;
+    queue.repeated += 1;
   }
-  const bool keeps = !added && question.subscribe.brief();
-  if (!keeps) {
-    position->second = question.subscribe;
+  const bool keep_queued = !added && request.subscribe.brief();
+  if (!keep_queued) {
+    position->second = request.subscribe;
   }
 }
 
-std::optional<FollowerQuestion> TakeNext(FollowerQueue& queue, TimePoint now) {
+std::optional<FollowerRequest> Dequeue(FollowerQueue& queue, TimePoint now) {
   if (queue.order.empty()) {
     return std::nullopt;
   }
-  if (now >= queue.turn_ends_at) {
+  if (now >= queue.interval_ends_at) {
     AdaptBudget(queue, now);
-    BeginTurn(queue, now);
+    BeginInterval(queue, now);
   }
   if (queue.spent >= queue.budget) {
     return std::nullopt;
   }
-  FollowerQuestion question{.from = queue.order.front()};
+  FollowerRequest request{.from = queue.order.front()};
   queue.order.pop_front();
-  const auto found = queue.waiting.find(question.from);
-  question.subscribe = std::move(found->second);
-  queue.waiting.erase(found);
-  queue.spent += question.subscribe.brief() ? 1 : kContentsCost;
-  return question;
+  const auto found = queue.pending.find(request.from);
+  request.subscribe = std::move(found->second);
+  queue.pending.erase(found);
+  queue.spent += request.subscribe.brief() ? 1 : kFullAnswerCost;
+  return request;
 }
 
 TimePoint NextDue(const FollowerQueue& queue) {
-  return queue.order.empty() ? TimePoint::max() : queue.turn_ends_at;
+  return queue.order.empty() ? TimePoint::max() : queue.interval_ends_at;
 }
 
 }  // namespace filbertwall
--- a/Source/Fleet/FollowerQueue.h
+++ b/Source/Fleet/FollowerQueue.h
@@ -7,40 +7,44 @@
 
 #include "Fleet/Fleet.h"
 
-/// Questions of entry instances that wait until a control instance has time.
+/// Queue of subscribe requests from entry instances to a control instance.
 ///
-/// Load that it answers: hundreds of instances start at once and ask, again and
-/// again, while the control instances elect a leader. Answers are bounded in
-/// each short turn, so that agreement, reports of servers and the operator come
-/// in between. The bound rises while turns begin when they are due, and is
-/// halved when one begins late, since the loop then had no time. A question
-/// replaces the last one of the same instance, so that what is asked again does
-/// not make the queue longer. Plain state; not thread safe.
+/// The queue limits the load when hundreds of instances start at once and
+/// repeat their requests while the control instances elect a leader. The number
+/// of answers per short interval is bounded, so that the event loop can process
+/// consensus messages, server reports and operator requests in between. The
+/// bound increases by one when an interval starts on time, and is halved when
+/// an interval starts late, because the event loop was then busy. A new request
+/// replaces a queued one of the same instance, so that repeated requests do not
+/// make the queue longer. Plain state; not thread safe.
 namespace filbertwall {
 
-/// A question of one instance.
-struct FollowerQuestion {
+/// A request of one instance.
+struct FollowerRequest {
   InstanceAddress from = 0;
   wire::Subscribe subscribe;
 };
 
 struct FollowerQueue {
-  std::deque<InstanceAddress> order;
-  std::map<InstanceAddress, wire::Subscribe> waiting;
-  TimePoint turn_ends_at;
-  std::uint32_t budget = 4;    ///< Brief answers in one turn.
-  std::uint32_t spent = 0;     ///< Of this turn's budget.
-  std::uint64_t replaced = 0;  ///< Questions that were asked again in vain.
+  std::deque<InstanceAddress> order;  ///< Senders, oldest request first.
+  std::map<InstanceAddress, wire::Subscribe> pending;  ///< By sender.
+  TimePoint interval_ends_at;
+  std::uint32_t budget = 4;  ///< Cost allowed per interval; a summary costs 1.
+  std::uint32_t spent = 0;   ///< Part of `budget` used in this interval.
+  std::uint64_t repeated = 0;  ///< Requests received while one was queued.
 };
 
-/// Keeps a question. One for contents is not replaced by a brief one.
-void Enqueue(FollowerQueue& queue, const FollowerQuestion& question,
+/// Adds a request or replaces the queued one of the same sender. A brief
+/// request does not replace one for the full contents.
+void Enqueue(FollowerQueue& queue, const FollowerRequest& request,
              TimePoint now);
 
-/// Takes the question that waited for longest, if the turn has time for it.
-std::optional<FollowerQuestion> TakeNext(FollowerQueue& queue, TimePoint now);
+/// Removes and returns the oldest request, or nothing if the queue is empty or
+/// the budget of the interval is used up.
+std::optional<FollowerRequest> Dequeue(FollowerQueue& queue, TimePoint now);
 
-/// When `TakeNext` may give one; far in the future when none waits.
+/// Returns when the next interval starts, at which `Dequeue` should be called
+/// again; `TimePoint::max()` when the queue is empty.
 TimePoint NextDue(const FollowerQueue& queue);
 
 }  // namespace filbertwall
--- a/Source/Fleet/ServerOutcomes.cc
+++ b/Source/Fleet/ServerOutcomes.cc
@@ -2,30 +2,31 @@
 
 #include "Fleet/ControlTurn.h"
 
-/// Which backend servers fail their callers: from what entry instances saw of
-/// their flows to a mark in the server's record.
+/// Marks backend servers as failing in their records, from the flow outcomes
+/// that entry instances report.
 namespace filbertwall {
 namespace {
 
-constexpr Milliseconds kJudgeInterval{250};
-/// Counts of servers that hardly fail are not passed on.
-constexpr double kLeastFailuresTold = 0.5;
+constexpr Milliseconds kEvaluationInterval{250};
+/// Counts of servers with fewer failures are not forwarded.
+constexpr double kMinForwardedFailures = 0.5;
 
-/// Each control instance hears only the entry instances that follow it; the
-/// others are told of servers that fail.
-void PassOn(ControlTurn& turn) {
+/// Forwards the outcomes of servers with failures to the other control
+/// instances: each receives outcomes only from the entry instances that follow
+/// it.
+void ForwardOutcomes(ControlTurn& turn) {
   ControlInstance& instance = turn.instance;
   wire::FleetMessage message;
   wire::Outcomes& outcomes = *message.mutable_outcomes();
   outcomes.set_passed_on(true);
-  for (const auto& [id, outcome] : instance.outcomes.not_passed_on) {
+  for (const auto& [id, outcome] : instance.outcomes.to_forward) {
     const OutcomeCounts counts =
         CountsOf(instance.outcomes.ledger, id, turn.now);
-    if (counts.failed >= kLeastFailuresTold) {
+    if (counts.failed >= kMinForwardedFailures) {
       *outcomes.add_servers() = outcome;
     }
   }
-  instance.outcomes.not_passed_on.clear();
+  instance.outcomes.to_forward.clear();
   if (outcomes.servers().empty()) {
     return;
   }
@@ -35,8 +36,8 @@
   }
 }
 
-/// Ready servers by service.
-std::map<std::string, std::vector<std::string>> ServicesOf(
+/// Returns the ids of the ready servers that are not silent, by service.
+std::map<std::string, std::vector<std::string>> ReadyServersByService(
     const Registry& registry) {
   std::map<std::string, std::vector<std::string>> services;
   for (const auto& [id, server] : registry.servers) {
@@ -48,7 +49,8 @@
   return services;
 }
 
-void Mark(ControlTurn& turn, const std::string& id, bool failing) {
+/// Sets or clears the failing mark of a server.
+void MarkServer(ControlTurn& turn, const std::string& id, bool failing) {
   ControlInstance& instance = turn.instance;
   SetFailing(instance.registry, id, failing);
   const OutcomeCounts counts = CountsOf(instance.outcomes.ledger, id, turn.now);
@@ -57,25 +59,26 @@
           " served=" + std::to_string(counts.served) +
           " failed=" + std::to_string(counts.failed),
       failing ? Severity::kWarning : Severity::kInfo);
-  PushSoon(turn);
+  SchedulePush(turn);
 }
 
-void Judge(ControlTurn& turn) {
+void EvaluateServers(ControlTurn& turn) {
   ControlInstance& instance = turn.instance;
   ServerOutcomes& outcomes = instance.outcomes;
   std::set<std::string> failing;
-  for (const auto& [service, servers] : ServicesOf(instance.registry)) {
+  for (const auto& [service, servers] :
+       ReadyServersByService(instance.registry)) {
     failing.merge(
         FindFailing(outcomes.ledger, servers, outcomes.failing, turn.now));
   }
   for (const std::string& id : failing) {
     if (!outcomes.failing.contains(id)) {
-      Mark(turn, id, true);
+      MarkServer(turn, id, true);
     }
   }
   for (const std::string& id : outcomes.failing) {
     if (!failing.contains(id)) {
-      Mark(turn, id, false);
+      MarkServer(turn, id, false);
     }
   }
   outcomes.failing = std::move(failing);
@@ -84,40 +87,41 @@
 }  // namespace
 
 void HandleOutcomes(ControlTurn& turn, const wire::Outcomes& outcomes) {
-  ServerOutcomes& held = turn.instance.outcomes;
+  ServerOutcomes& state = turn.instance.outcomes;
   for (const wire::ServerOutcome& outcome : outcomes.servers()) {
     if (!turn.instance.registry.servers.contains(outcome.id())) {
-      continue;  // Forgotten here, or not heard of yet.
+      continue;  // Removed from the registry, or not yet known.
     }
-    AddOutcomes(held.ledger, outcome.id(), outcome.served(), outcome.failed(),
+    AddOutcomes(state.ledger, outcome.id(), outcome.served(), outcome.failed(),
                 turn.now);
     if (!outcomes.passed_on()) {
-      wire::ServerOutcome& sum = held.not_passed_on[outcome.id()];
+      wire::ServerOutcome& sum = state.to_forward[outcome.id()];
       sum.set_id(outcome.id());
       sum.set_served(sum.served() + outcome.served());
       sum.set_failed(sum.failed() + outcome.failed());
     }
   }
-  if (!held.ledger.servers.empty()) {
-    held.judge_at = std::min(held.judge_at, turn.now + kJudgeInterval);
+  if (!state.ledger.servers.empty()) {
+    state.evaluate_at =
+        std::min(state.evaluate_at, turn.now + kEvaluationInterval);
   }
 }
 
-void StepOutcomes(ControlTurn& turn) {
+void ProcessOutcomes(ControlTurn& turn) {
   ServerOutcomes& outcomes = turn.instance.outcomes;
-  if (turn.now < outcomes.judge_at) {
+  if (turn.now < outcomes.evaluate_at) {
     return;
   }
-  PassOn(turn);
+  ForwardOutcomes(turn);
   ForgetOutcomes(outcomes.ledger, turn.now);
   const bool any_failed = std::any_of(
       outcomes.ledger.servers.begin(), outcomes.ledger.servers.end(),
       [](const auto& item) { return item.second.failed >= 1; });
   if (any_failed || !outcomes.failing.empty()) {
-    Judge(turn);
+    EvaluateServers(turn);
   }
-  outcomes.judge_at =
-      outcomes.ledger.servers.empty() ? kNever : turn.now + kJudgeInterval;
+  outcomes.evaluate_at =
+      outcomes.ledger.servers.empty() ? kNever : turn.now + kEvaluationInterval;
 }
 
 }  // namespace filbertwall
--- a/Source/Fleet/ServerReports.cc
+++ b/Source/Fleet/ServerReports.cc
@@ -3,16 +3,17 @@
 #include "Base/Endpoint.h"
 #include "Fleet/ControlTurn.h"
 
-/// Reports of backend servers, from the call to its answer.
+/// Handles reports of backend servers.
 namespace filbertwall {
 namespace {
 
-/// Another control instance must have a record before its server is answered.
-constexpr Milliseconds kConfirmWait{500};
+/// A report of a server that is not ready is answered only once another control
+/// instance has confirmed the record, or fails after this time.
+constexpr Milliseconds kConfirmTimeout{500};
 
 }  // namespace
 
-void StepReports(ControlTurn& turn) {
+void AnswerPendingReports(ControlTurn& turn) {
   ControlInstance& instance = turn.instance;
   std::uint64_t confirmed = 0;
   for (const auto& [address, subscriber] : instance.subscribers) {
@@ -23,7 +24,7 @@
   if (instance.replica.committed.members_size() <= 1) {
     confirmed = instance.registry.change;
   }
-  std::erase_if(instance.reports, [&](const WaitingReport& report) {
+  std::erase_if(instance.reports, [&](const PendingReport& report) {
     if (report.change <= confirmed) {
       Answer(turn, AnswerCall{.call = report.call,
                               .verdict = CallVerdict::kAccepted,
@@ -70,7 +71,8 @@
   const auto known = instance.registry.servers.find(record.id());
   if (record.phase() == wire::SERVER_GONE &&
       known != instance.registry.servers.end()) {
-    // Its address and token are still needed for the flows that it had.
+    // The known record is kept, since its address and token are still needed
+    // for the flows of the server.
     const std::uint64_t incarnation = record.incarnation();
     record = known->second.record;
     if (incarnation == 0 || incarnation >= record.incarnation()) {
@@ -82,7 +84,7 @@
   KeepJudgement(instance.registry, record);
   if (MergeRecord(instance.registry, record, turn.now)) {
     LogServer(turn, record, "itself");
-    PushSoon(turn);
+    SchedulePush(turn);
   }
   Server& server = instance.registry.servers.at(record.id());
   if (record.incarnation() >= server.record.incarnation()) {
@@ -95,12 +97,12 @@
     return;
   }
   instance.reports.push_back(
-      WaitingReport{.call = event.call,
+      PendingReport{.call = event.call,
                     .change = server.change,
-                    .expires_at = turn.now + kConfirmWait});
-  StepReports(turn);
+                    .expires_at = turn.now + kConfirmTimeout});
+  AnswerPendingReports(turn);
   if (!instance.reports.empty()) {
-    PushToControl(turn);
+    PushToControlInstances(turn);
   }
 }
 
--- a/Source/Fleet/Submissions.cc
+++ b/Source/Fleet/Submissions.cc
@@ -1,12 +1,13 @@
 #include "Fleet/ControlTurn.h"
 
-/// Rules files from the call that hands them over to their verdict.
+/// Handles submissions and reads of the rules file.
 namespace filbertwall {
 namespace {
 
-/// How long a submission waits for a leader before its caller tries elsewhere.
-constexpr Milliseconds kLeaderWait{700};
-constexpr std::size_t kMostWaiting = 64;
+/// A submission waits this long for a leader; its caller then tries another
+/// instance.
+constexpr Milliseconds kLeaderTimeout{700};
+constexpr std::size_t kMaxPendingSubmissions = 64;
 
 AnswerCall Accepted(CallId call) {
   return AnswerCall{.call = call, .verdict = CallVerdict::kAccepted};
@@ -17,16 +18,17 @@
       .call = call, .verdict = CallVerdict::kUnavailable, .reason = reason};
 }
 
-/// Whether the file is answered by what is committed already.
-bool IsSettled(const ControlTurn& turn, const wire::RulesFile& file) {
+/// Returns whether the committed version is at least as high as the file's.
+bool IsAlreadyCommitted(const ControlTurn& turn, const wire::RulesFile& file) {
   return file.version() <= turn.instance.replica.committed.rules().version();
 }
 
-/// Answers, redirects or proposes; false when there is no leader.
+/// Answers, redirects or proposes the submission. Returns false when no leader
+/// is known.
 bool TrySubmission(ControlTurn& turn, CallId call,
                    const wire::RulesFile& file) {
   ControlInstance& instance = turn.instance;
-  if (IsSettled(turn, file)) {
+  if (IsAlreadyCommitted(turn, file)) {
     Answer(turn, Accepted(call));
     return true;
   }
@@ -38,7 +40,7 @@
     RunReplica(turn, submitted);
     return true;
   }
-  const InstanceAddress leader = KnownLeader(turn);
+  const InstanceAddress leader = RedirectTarget(turn);
   if (leader == 0) {
     return false;
   }
@@ -56,20 +58,20 @@
   if (TrySubmission(turn, event.call, event.file)) {
     return;
   }
-  if (instance.submissions.size() >= kMostWaiting) {
+  if (instance.submissions.size() >= kMaxPendingSubmissions) {
     Answer(turn, Unavailable(event.call, "too many submissions wait"));
     return;
   }
   instance.submissions.push_back(
-      WaitingSubmission{.call = event.call,
+      PendingSubmission{.call = event.call,
                         .file = event.file,
-                        .expires_at = turn.now + kLeaderWait});
+                        .expires_at = turn.now + kLeaderTimeout});
 }
 
-void StepSubmissions(ControlTurn& turn) {
-  std::deque<WaitingSubmission> waiting;
-  waiting.swap(turn.instance.submissions);
-  for (WaitingSubmission& submission : waiting) {
+void RetrySubmissions(ControlTurn& turn) {
+  std::deque<PendingSubmission> pending;
+  pending.swap(turn.instance.submissions);
+  for (PendingSubmission& submission : pending) {
     if (TrySubmission(turn, submission.call, submission.file)) {
       continue;
     }
@@ -91,8 +93,8 @@
   instance.commit_time.Add(std::chrono::duration_cast<Microseconds>(
       turn.now - proposal->second.proposed_at));
   instance.proposals.erase(proposal);
-  // A file that is refused here was overtaken by a version at least as high, so
-  // there is nothing left to do for it.
+  // A refused file was superseded by a committed version at least as high, so
+  // the submission is complete.
   if (verdict.verdict == wire::UNKNOWN) {
     Answer(turn, Unavailable(call, verdict.reason));
     return;
@@ -113,7 +115,7 @@
                             .rules = replica.committed.rules()});
     return;
   }
-  const InstanceAddress leader = KnownLeader(turn);
+  const InstanceAddress leader = RedirectTarget(turn);
   if (leader == 0) {
     Answer(turn, Unavailable(event.call, "no leader is known"));
     return;
--- a/Tests/Fleet/FollowerQueueTest.cc
+++ b/Tests/Fleet/FollowerQueueTest.cc
@@ -8,58 +8,58 @@
 
 constexpr TimePoint kStart{std::chrono::hours(1)};
 
-FollowerQuestion Ask(InstanceAddress from, bool brief) {
-  FollowerQuestion question{.from = from};
-  question.subscribe.set_brief(brief);
-  return question;
+FollowerRequest MakeRequest(InstanceAddress from, bool brief) {
+  FollowerRequest request{.from = from};
+  request.subscribe.set_brief(brief);
+  return request;
 }
 
 }  // namespace
 
 TEST_GROUP(FollowerQueue) { FollowerQueue queue; };
 
-TEST(FollowerQueue, AnswersOneAtOnceWhenIdle) {
-  Enqueue(this->queue, Ask(1, true), kStart);
-  CHECK(TakeNext(this->queue, kStart).has_value());
+TEST(FollowerQueue, AnIdleQueueAnswersAtOnce) {
+  Enqueue(this->queue, MakeRequest(1, true), kStart);
+  CHECK(Dequeue(this->queue, kStart).has_value());
   CHECK(NextDue(this->queue) == TimePoint::max());
 }
 
-TEST(FollowerQueue, WhatIsAskedAgainDoesNotMakeItLonger) {
+TEST(FollowerQueue, RepeatedRequestsDoNotMakeItLonger) {
   for (int round = 0; round < 50; ++round) {
     for (InstanceAddress from = 1; from <= 300; ++from) {
-      Enqueue(this->queue, Ask(from, true), kStart);
+      Enqueue(this->queue, MakeRequest(from, true), kStart);
     }
   }
   LONGS_EQUAL(300, this->queue.order.size());
-  LONGS_EQUAL(300, this->queue.waiting.size());
+  LONGS_EQUAL(300, this->queue.pending.size());
 }
 
-TEST(FollowerQueue, ATurnIsBounded) {
+TEST(FollowerQueue, AnswersPerIntervalAreBounded) {
   for (InstanceAddress from = 1; from <= 300; ++from) {
-    Enqueue(this->queue, Ask(from, false), kStart);
+    Enqueue(this->queue, MakeRequest(from, false), kStart);
   }
   int answered = 0;
-  while (TakeNext(this->queue, kStart)) {
+  while (Dequeue(this->queue, kStart)) {
     answered += 1;
   }
   CHECK(answered >= 1 && answered <= 4);
   const TimePoint next = NextDue(this->queue);
   CHECK(next > kStart && next <= kStart + Milliseconds(10));
-  CHECK(TakeNext(this->queue, next).has_value());
+  CHECK(Dequeue(this->queue, next).has_value());
 }
 
-TEST(FollowerQueue, ABusyLoopAnswersFewerThanAnIdleOne) {
+TEST(FollowerQueue, ABusyEventLoopAnswersFewerPerInterval) {
   const auto answered_after = [](Milliseconds lateness) {
     FollowerQueue queue;
     InstanceAddress from = 1;
     TimePoint now = kStart;
     int answered = 0;
-    for (int turn = 0; turn < 40; ++turn) {
+    for (int interval = 0; interval < 40; ++interval) {
       for (int i = 0; i < 50; ++i) {
-        Enqueue(queue, Ask(from++, true), now);
+        Enqueue(queue, MakeRequest(from++, true), now);
       }
       answered = 0;
-      while (TakeNext(queue, now)) {
+      while (Dequeue(queue, now)) {
         answered += 1;
       }
       now = NextDue(queue) + lateness;
@@ -70,16 +70,16 @@
   CHECK(answered_after(Milliseconds(10)) <= 4);
 }
 
-TEST(FollowerQueue, WhoWaitedLongestComesFirst) {
-  Enqueue(this->queue, Ask(1, true), kStart);
-  Enqueue(this->queue, Ask(2, true), kStart);
-  Enqueue(this->queue, Ask(1, true), kStart);
-  LONGS_EQUAL(1, TakeNext(this->queue, kStart)->from);
-  LONGS_EQUAL(2, TakeNext(this->queue, kStart)->from);
+TEST(FollowerQueue, TheOldestRequestComesFirst) {
+  Enqueue(this->queue, MakeRequest(1, true), kStart);
+  Enqueue(this->queue, MakeRequest(2, true), kStart);
+  Enqueue(this->queue, MakeRequest(1, true), kStart);
+  LONGS_EQUAL(1, Dequeue(this->queue, kStart)->from);
+  LONGS_EQUAL(2, Dequeue(this->queue, kStart)->from);
 }
 
-TEST(FollowerQueue, AQuestionForContentsOutlivesABriefOne) {
-  Enqueue(this->queue, Ask(1, false), kStart);
-  Enqueue(this->queue, Ask(1, true), kStart);
-  CHECK_FALSE(TakeNext(this->queue, kStart)->subscribe.brief());
+TEST(FollowerQueue, ABriefRequestDoesNotReplaceAFullOne) {
+  Enqueue(this->queue, MakeRequest(1, false), kStart);
+  Enqueue(this->queue, MakeRequest(1, true), kStart);
+  CHECK_FALSE(Dequeue(this->queue, kStart)->subscribe.brief());
 }
