--- a/Tests/Fleet/CrowdTest.cc
+++ b/Tests/Fleet/CrowdTest.cc
@@ -5,9 +5,9 @@
 
 #include <CppUTest/TestHarness.h>
 
-/// A stop of everything at the size of hundreds of instances, with control
-/// instances whose processor time is bounded: each message that they take,
-/// build, encode and send costs some of it.
+/// Simulates a fleet of 300 instances that is restarted at once, when all entry
+/// instances request contents from control instances with limited processor
+/// time. Each message that a control instance receives or sends has a cost.
 using namespace filbertwall;
 
 namespace {
@@ -19,27 +19,27 @@
 constexpr int kRoutes = 1300;
 constexpr Milliseconds kStep{1};
 
-/// A control instance runs this share of the time.
+/// Share of a processor that each control instance has.
 constexpr double kProcessorShare = 0.3;
-constexpr double kTakeUs = 20;
+constexpr double kReceiveUs = 20;
 constexpr double kSendUs = 30;
-/// To build, encode and compress one byte of a message.
+/// Cost to build, encode and compress one byte of a message.
 constexpr double kByteUs = 0.03;
-/// Messages that wait in the socket of one control instance.
-constexpr std::size_t kMostWaiting = 4000;
-/// Messages that a loop takes before it looks at its timers.
-constexpr int kBatch = 64;
+/// Messages that the socket of a control instance holds; more are lost.
+constexpr std::size_t kMaxInboxSize = 4000;
+/// Messages that the event loop receives before it checks its timers.
+constexpr int kReceiveBatch = 64;
 
-/// A control instance's loop.
-struct Loop {
+/// Event loop of a control instance.
+struct EventLoop {
   std::deque<FleetWorld::Letter> inbox;
-  double busy_us = 0;  ///< Work done beyond this step.
+  double busy_us = 0;  ///< Work that exceeds the time of this step.
 };
 
-struct Crowd {
+struct SimulatedFleet {
   FleetWorld world;
-  std::map<InstanceAddress, Loop> loops;
-  double spent_us = 0;  ///< By the control instance that runs now.
+  std::map<InstanceAddress, EventLoop> loops;
+  double spent_us = 0;  ///< By the control instance being run.
   Milliseconds since_report{0};
   std::uint64_t sequence = 1;
 };
@@ -54,177 +54,178 @@
   return text;
 }
 
-void CountCost(Crowd& crowd) {
-  crowd.world.sent = [&crowd](InstanceAddress from, const SendMessage& effect) {
-    if (crowd.loops.contains(from)) {
-      crowd.spent_us += kSendUs + kByteUs * static_cast<double>(
+void CountSendCost(SimulatedFleet& fleet) {
+  fleet.world.sent = [&fleet](InstanceAddress from, const SendMessage& effect) {
+    if (fleet.loops.contains(from)) {
+      fleet.spent_us += kSendUs + kByteUs * static_cast<double>(
                                                 effect.message.ByteSizeLong());
     }
   };
 }
 
-/// Runs one control instance for as long as it has processor time in this step.
-void RunLoop(Crowd& crowd, InstanceAddress id) {
-  Loop& loop = crowd.loops.at(id);
+/// Runs one control instance until it is idle or the processor time of this
+/// step is used up.
+void RunEventLoop(SimulatedFleet& fleet, InstanceAddress id) {
+  EventLoop& loop = fleet.loops.at(id);
   const double step_us = kProcessorShare * 1000 * kStep.count();
   loop.busy_us = std::max(0.0, loop.busy_us - step_us);
   while (loop.busy_us <= 0) {
-    ControlInstance& instance = crowd.world.controls.at(id);
-    const bool due = crowd.world.now >= NextDue(instance);
+    ControlInstance& instance = fleet.world.controls.at(id);
+    const bool due = fleet.world.now >= NextDue(instance);
     if (loop.inbox.empty() && !due) {
       return;
     }
-    crowd.spent_us = 0;
-    for (int i = 0; i < kBatch && !loop.inbox.empty(); ++i) {
-      const FleetWorld::Letter letter = std::move(loop.inbox.front());
+    fleet.spent_us = 0;
+    for (int i = 0; i < kReceiveBatch && !loop.inbox.empty(); ++i) {
+      const FleetWorld::Letter envelope = std::move(loop.inbox.front());
       loop.inbox.pop_front();
-      crowd.spent_us += kTakeUs;
-      Apply(crowd.world, id,
+      fleet.spent_us += kReceiveUs;
+      Apply(fleet.world, id,
             ControlInstanceEvent(PeerMessage{
-                .from = letter.from, .message = letter.message.message}));
+                .from = envelope.from, .message = envelope.message.message}));
     }
-    if (crowd.world.now >= NextDue(instance)) {
-      crowd.spent_us += kTakeUs;
-      Apply(crowd.world, id, ControlInstanceDue{});
+    if (fleet.world.now >= NextDue(instance)) {
+      fleet.spent_us += kReceiveUs;
+      Apply(fleet.world, id, ControlInstanceDue{});
     }
-    loop.busy_us += crowd.spent_us;
+    loop.busy_us += fleet.spent_us;
   }
 }
 
-void Carry(Crowd& crowd) {
-  std::vector<FleetWorld::Letter> letters;
-  letters.swap(crowd.world.letters);
-  for (FleetWorld::Letter& letter : letters) {
-    const InstanceAddress to = letter.message.to;
-    const auto loop = crowd.loops.find(to);
-    if (loop != crowd.loops.end()) {
-      if (loop->second.inbox.size() < kMostWaiting) {
-        loop->second.inbox.push_back(std::move(letter));
+void DeliverMessages(SimulatedFleet& fleet) {
+  std::vector<FleetWorld::Letter> envelopes;
+  envelopes.swap(fleet.world.letters);
+  for (FleetWorld::Letter& envelope : envelopes) {
+    const InstanceAddress to = envelope.message.to;
+    const auto loop = fleet.loops.find(to);
+    if (loop != fleet.loops.end()) {
+      if (loop->second.inbox.size() < kMaxInboxSize) {
+        loop->second.inbox.push_back(std::move(envelope));
       }
-    } else if (crowd.world.entries.contains(to)) {
-      Apply(crowd.world, to,
-            EntryEvent(PeerMessage{.from = letter.from,
-                                   .message = letter.message.message}));
+    } else if (fleet.world.entries.contains(to)) {
+      Apply(fleet.world, to,
+            EntryEvent(PeerMessage{.from = envelope.from,
+                                   .message = envelope.message.message}));
     }
   }
 }
 
-/// Each server reports once in its interval.
-void ReportServers(Crowd& crowd) {
-  const auto interval = crowd.world.config.announce_interval;
+/// Sends the reports due in this step: one per server and report interval.
+void ReportServers(SimulatedFleet& fleet) {
+  const auto interval = fleet.world.config.announce_interval;
   const int per_step = kServers * static_cast<int>(kStep.count()) /
                            static_cast<int>(interval.count()) +
                        1;
   for (int i = 0; i < per_step; ++i) {
-    const std::uint64_t number = crowd.sequence++;
+    const std::uint64_t number = fleet.sequence++;
     const auto id = static_cast<InstanceAddress>(1 + number % kControls);
-    crowd.loops.at(id).busy_us += kTakeUs + kSendUs;
-    Report(crowd.world, id, "a" + std::to_string(number % kServers),
+    fleet.loops.at(id).busy_us += kReceiveUs + kSendUs;
+    Report(fleet.world, id, "a" + std::to_string(number % kServers),
            1 + number / kServers);
   }
 }
 
-void PassStep(Crowd& crowd) {
-  crowd.world.now += kStep;
-  ReportServers(crowd);
-  for (auto& [id, loop] : crowd.loops) {
-    RunLoop(crowd, id);
+void RunStep(SimulatedFleet& fleet) {
+  fleet.world.now += kStep;
+  ReportServers(fleet);
+  for (auto& [id, loop] : fleet.loops) {
+    RunEventLoop(fleet, id);
   }
-  for (auto& [id, instance] : crowd.world.entries) {
-    if (crowd.world.now >= NextDue(instance)) {
-      Apply(crowd.world, id, EntryDue{});
+  for (auto& [id, instance] : fleet.world.entries) {
+    if (fleet.world.now >= NextDue(instance)) {
+      Apply(fleet.world, id, EntryDue{});
     }
   }
-  Carry(crowd);
+  DeliverMessages(fleet);
 }
 
-void Pass(Crowd& crowd, Milliseconds time) {
+void RunFor(SimulatedFleet& fleet, Milliseconds time) {
   for (Milliseconds passed{0}; passed < time; passed += kStep) {
-    PassStep(crowd);
+    RunStep(fleet);
   }
 }
 
-InstanceAddress LeaderOf(const Crowd& crowd) {
-  for (const auto& [id, instance] : crowd.world.controls) {
-    if (HasLease(instance.replica, crowd.world.now)) {
+InstanceAddress LeaderOf(const SimulatedFleet& fleet) {
+  for (const auto& [id, instance] : fleet.world.controls) {
+    if (HasLease(instance.replica, fleet.world.now)) {
       return id;
     }
   }
   return 0;
 }
 
-std::size_t ReadyEntries(const Crowd& crowd) {
+std::size_t ReadyEntries(const SimulatedFleet& fleet) {
   std::size_t ready = 0;
-  for (const auto& [id, entry] : crowd.world.entries) {
+  for (const auto& [id, entry] : fleet.world.entries) {
     ready += IsReady(entry) ? 1 : 0;
   }
   return ready;
 }
 
-void SubmitRules(Crowd& crowd, std::uint64_t version) {
-  RulesSubmitted event{.call = crowd.world.next_call++};
+void SubmitRules(SimulatedFleet& fleet, std::uint64_t version) {
+  RulesSubmitted event{.call = fleet.world.next_call++};
   event.file.set_version(version);
   event.file.set_text(ManyRules(version));
   event.file.set_digest("digest" + std::to_string(version));
-  Apply(crowd.world, LeaderOf(crowd), event);
+  Apply(fleet.world, LeaderOf(fleet), event);
 }
 
-void StopAndStartAll(Crowd& crowd) {
-  crowd.world.letters.clear();
-  for (auto& [id, loop] : crowd.loops) {
-    loop = Loop{};
+void RestartAll(SimulatedFleet& fleet) {
+  fleet.world.letters.clear();
+  for (auto& [id, loop] : fleet.loops) {
+    loop = EventLoop{};
   }
   for (InstanceAddress id = 1; id <= kControls; ++id) {
-    StartControl(crowd.world, id, false);
+    StartControl(fleet.world, id, false);
   }
   for (InstanceAddress id = kFirstEntry; id < kFirstEntry + kEntries; ++id) {
-    StartEntry(crowd.world, id);
+    StartEntry(fleet.world, id);
   }
 }
 
 }  // namespace
 
 TEST_GROUP(Crowd) {
-  Crowd crowd{.world = MakeWorld(kControls, kEntries)};
+  SimulatedFleet fleet{.world = MakeWorld(kControls, kEntries)};
 
   void setup() override {
     for (InstanceAddress id = 1; id <= kControls; ++id) {
-      this->crowd.loops[id] = Loop{};
+      this->fleet.loops[id] = EventLoop{};
     }
-    CountCost(this->crowd);
-    Pass(this->crowd, Milliseconds(3000));
-    CHECK(LeaderOf(this->crowd) != 0);
-    SubmitRules(this->crowd, 9);
-    Pass(this->crowd, Milliseconds(3000));
-    LONGS_EQUAL(kEntries, ReadyEntries(this->crowd));
+    CountSendCost(this->fleet);
+    RunFor(this->fleet, Milliseconds(3000));
+    CHECK(LeaderOf(this->fleet) != 0);
+    SubmitRules(this->fleet, 9);
+    RunFor(this->fleet, Milliseconds(3000));
+    LONGS_EQUAL(kEntries, ReadyEntries(this->fleet));
   }
 };
 
 TEST(Crowd, RecoversFromAStopOfEverything) {
-  StopAndStartAll(this->crowd);
-  Pass(this->crowd, Milliseconds(2000));
-  const InstanceAddress leader = LeaderOf(this->crowd);
+  RestartAll(this->fleet);
+  RunFor(this->fleet, Milliseconds(2000));
+  const InstanceAddress leader = LeaderOf(this->fleet);
   CHECK(leader != 0);
-  LONGS_EQUAL(kEntries, ReadyEntries(this->crowd));
-  for (const auto& [id, entry] : this->crowd.world.entries) {
-    CHECK_EQUAL(9, VersionAt(this->crowd.world, id));
+  LONGS_EQUAL(kEntries, ReadyEntries(this->fleet));
+  for (const auto& [id, entry] : this->fleet.world.entries) {
+    CHECK_EQUAL(9, VersionAt(this->fleet.world, id));
   }
   for (int i = 0; i < 30; ++i) {
-    Pass(this->crowd, Milliseconds(100));
-    CHECK_EQUAL(leader, LeaderOf(this->crowd));
+    RunFor(this->fleet, Milliseconds(100));
+    CHECK_EQUAL(leader, LeaderOf(this->fleet));
   }
 }
 
-TEST(Crowd, NineInTenServeWithinASecondOfAStart) {
-  StopAndStartAll(this->crowd);
-  Pass(this->crowd, Milliseconds(1000));
-  CHECK(ReadyEntries(this->crowd) >= kEntries * 9 / 10);
+TEST(Crowd, NinetyPercentServeWithinASecondOfARestart) {
+  RestartAll(this->fleet);
+  RunFor(this->fleet, Milliseconds(1000));
+  CHECK(ReadyEntries(this->fleet) >= kEntries * 9 / 10);
 }
 
 TEST(Crowd, NewRulesAreInForceEverywhereWithinTwoSeconds) {
-  SubmitRules(this->crowd, 10);
-  Pass(this->crowd, Milliseconds(2000));
-  for (const auto& [id, entry] : this->crowd.world.entries) {
-    CHECK_EQUAL(10, VersionAt(this->crowd.world, id));
+  SubmitRules(this->fleet, 10);
+  RunFor(this->fleet, Milliseconds(2000));
+  for (const auto& [id, entry] : this->fleet.world.entries) {
+    CHECK_EQUAL(10, VersionAt(this->fleet.world, id));
   }
 }
