--- a/Source/Fleet/ControlInstance.cc
+++ b/Source/Fleet/ControlInstance.cc
@@ -191,8 +191,8 @@
   });
 }
 
-void UnpackUpdate(ControlTurn& turn, InstanceAddress from,
-                  wire::Update update) {
+void HandlePackedUpdate(ControlTurn& turn, InstanceAddress from,
+                        wire::Update update) {
   if (!Unpack(update)) {
     Log(turn, EventId::kMalformedInput,
         "malformed update from " + FormatIp(from), Severity::kWarning);
@@ -228,7 +228,7 @@
     } else if (message.has_subscribe()) {
       HandleSubscribe(this->turn, event.from, message.subscribe());
     } else if (message.has_update()) {
-      UnpackUpdate(this->turn, event.from, message.update());
+      HandlePackedUpdate(this->turn, event.from, message.update());
     } else if (message.has_outcomes()) {
       HandleOutcomes(this->turn, message.outcomes());
     }
