--- a/Tests/Fleet/CrowdTest.cc
+++ b/Tests/Fleet/CrowdTest.cc
@@ -5,9 +5,10 @@
 
 #include <CppUTest/TestHarness.h>
 
-/// Simulates a fleet of 300 instances that is restarted at once, when all entry
-/// instances request contents from control instances with limited processor
-/// time. Each message that a control instance receives or sends has a cost.
+/// Simulates a fleet of 300 instances, which is restarted at once or gets new
+/// rules: all entry instances then need contents from control instances with
+/// limited processor time. Each message that a control instance receives,
+/// builds, encodes or sends has a cost.
 using namespace filbertwall;
 
 namespace {
@@ -77,12 +78,12 @@
     }
     fleet.spent_us = 0;
     for (int i = 0; i < kReceiveBatch && !loop.inbox.empty(); ++i) {
-      const FleetWorld::Letter envelope = std::move(loop.inbox.front());
+      const FleetWorld::Letter in_flight = std::move(loop.inbox.front());
       loop.inbox.pop_front();
       fleet.spent_us += kReceiveUs;
       Apply(fleet.world, id,
             ControlInstanceEvent(PeerMessage{
-                .from = envelope.from, .message = envelope.message.message}));
+                .from = in_flight.from, .message = in_flight.message.message}));
     }
     if (fleet.world.now >= NextDue(instance)) {
       fleet.spent_us += kReceiveUs;
@@ -93,19 +94,19 @@
 }
 
 void DeliverMessages(SimulatedFleet& fleet) {
-  std::vector<FleetWorld::Letter> envelopes;
-  envelopes.swap(fleet.world.letters);
-  for (FleetWorld::Letter& envelope : envelopes) {
-    const InstanceAddress to = envelope.message.to;
+  std::vector<FleetWorld::Letter> messages;
+  messages.swap(fleet.world.letters);
+  for (FleetWorld::Letter& in_flight : messages) {
+    const InstanceAddress to = in_flight.message.to;
     const auto loop = fleet.loops.find(to);
     if (loop != fleet.loops.end()) {
       if (loop->second.inbox.size() < kMaxInboxSize) {
-        loop->second.inbox.push_back(std::move(envelope));
+        loop->second.inbox.push_back(std::move(in_flight));
       }
     } else if (fleet.world.entries.contains(to)) {
       Apply(fleet.world, to,
-            EntryEvent(PeerMessage{.from = envelope.from,
-                                   .message = envelope.message.message}));
+            EntryEvent(PeerMessage{.from = in_flight.from,
+                                   .message = in_flight.message.message}));
     }
   }
 }
