--- a/Source/Fleet/Calls.h
+++ b/Source/Fleet/Calls.h
@@ -11,19 +11,23 @@
 #include "Forwarding/Forwarder.h"
 #include "Wire/wire.pb.h"
 
-/// What a deployment's adapter translates: its calls and its packets.
+/// Interface of the adapter that translates a deployment's HTTP calls and
+/// packet format to those of this project.
 namespace filbertwall {
 
-/// The fabric asks whether packets may be sent to this instance.
+/// Health check: asks whether packets may be sent to this instance.
 struct HealthCall {};
+/// A backend server reports its state.
 struct ReportCall {
   wire::ServerRecord record;
 };
+/// Submits a rules file.
 struct SubmitCall {
   wire::RulesFile file;
 };
+/// Reads the rules file in force.
 struct ReadCall {};
-/// A call that can't be translated; answered by the adapter itself.
+/// A call that cannot be translated; the adapter itself answers it.
 struct MalformedCall {
   int status = 400;
   std::string reason;
@@ -31,32 +35,34 @@
 using FleetCall =
     std::variant<HealthCall, ReportCall, SubmitCall, ReadCall, MalformedCall>;
 
-/// A call over HTTP as it arrived.
+/// An HTTP request as received.
 struct HttpCall {
   std::string method;
   std::string path;
   std::string body;
 };
 
-/// Between a deployment's calls and the project's. Pure functions.
+/// Translates between HTTP and `FleetCall`. Both are pure functions.
 struct CallTranslator {
+  /// Parses a request.
   std::function<FleetCall(const HttpCall&)> read;
-  /// Preconditions: `call` is what `read` gave for `request`.
+  /// Builds the HTTP response. Precondition: `call` is the result of `read` for
+  /// `request`.
   std::function<wire::Answer(const HttpCall& request, const FleetCall& call,
                              const AnswerCall& answer)>
       write;
 };
 
-/// Between a deployment's packets and the project's. Pure functions.
+/// Parses and writes the deployment's packets. All are pure functions.
 struct PacketCodec {
-  /// False when the bytes are no packet of a caller.
+  /// Parses a caller's packet. Returns false when the bytes are not one.
   bool (*parse)(std::span<const std::uint8_t> bytes, FlowPacket& packet);
   /// Writes the token into a packet that `parse` has accepted.
   void (*stamp)(std::span<std::uint8_t> bytes, std::uint32_t token);
-  /// Writes what goes before a packet to a server; gives its length.
+  /// Writes the header that precedes a packet to a server. Returns its length.
   std::size_t (*write_head)(std::uint64_t server_number,
                             std::span<std::uint8_t> out);
-  /// Writes a packet that resets the flow; gives its length.
+  /// Writes a packet that resets the flow of `bytes`. Returns its length.
   std::size_t (*write_reset)(std::span<const std::uint8_t> bytes,
                              std::span<std::uint8_t> out);
 };
--- a/Source/Fleet/EntryInstance.cc
+++ b/Source/Fleet/EntryInstance.cc
@@ -7,55 +7,65 @@
 namespace filbertwall {
 namespace {
 
+/// Time between two requests to the primary.
 constexpr Milliseconds kPollInterval{400};
-/// The contents are asked for again only after this time, and twice as long
-/// each time: many instances may ask at once, and what is sent twice delays
-/// what they wait for.
-constexpr Milliseconds kAnswerTime{60};
-constexpr Milliseconds kLongestAnswerTime{500};
-/// Without word of the newest rules for this long, all are asked.
-constexpr Milliseconds kFreshLimit{900};
-/// The first of the intervals at which all are asked; each is twice the last.
-constexpr Milliseconds kShortestUrgentInterval{40};
-constexpr Milliseconds kLongestUrgentInterval{120};
-/// When less than half of those asked have answered, they may have no time.
-constexpr Milliseconds kLongestUnansweredInterval{240};
-constexpr Milliseconds kLocalInterval{2000};
-/// Words that are further apart make no majority: a version may have been
-/// accepted between them.
-constexpr Milliseconds kWordLifetime{1000};
+/// Missing contents are requested again after this time, which doubles with
+/// each request: many instances may request them at once, and contents that are
+/// sent twice delay the others.
+constexpr Milliseconds kMinContentsRequestInterval{60};
+constexpr Milliseconds kMaxContentsRequestInterval{500};
+/// When the primary has not sent a fresh update for this long, all known
+/// control instances are probed.
+constexpr Milliseconds kPrimaryTimeout{900};
+/// The interval between two probes of all control instances starts at the
+/// minimum and doubles up to the maximum.
+constexpr Milliseconds kMinProbeInterval{40};
+constexpr Milliseconds kMaxProbeInterval{120};
+/// The maximum when fewer replies came than half the number of probes: the
+/// control instances may be overloaded.
+constexpr Milliseconds kMaxUnansweredProbeInterval{240};
+/// Time between two probes of the own data centre while the primary is in
+/// another one.
+constexpr Milliseconds kLocalProbeInterval{2000};
+/// Knowledge that was received longer ago than this does not count towards a
+/// majority: a newer version may have been accepted since.
+constexpr Milliseconds kKnowledgeLifetime{1000};
 constexpr Milliseconds kHousekeepingInterval{1000};
-/// Running this much later than due, the instance stood still.
-constexpr Milliseconds kStallLimit{300};
-/// Time to read what had arrived meanwhile.
-constexpr Milliseconds kStallDiscard{100};
-/// Longer than any flow lives, so that its token can be resolved.
+/// A timer that is overdue by more than this shows that the process was
+/// suspended or had no processor time.
+constexpr Milliseconds kStallThreshold{300};
+/// Time to read the packets that have queued up during a stall.
+constexpr Milliseconds kStallDiscardTime{100};
+/// How long the record of a gone server is kept. Longer than any flow lasts, so
+/// that the token of each of its flows can be resolved.
 constexpr Milliseconds kGoneRetention{90000};
-/// The routers need two failed health checks to send packets elsewhere.
+/// Time between the stop request and the end of the process. The routers send
+/// packets elsewhere only after two failed health checks.
 constexpr Milliseconds kStopDelay{1800};
 
-struct Turn {
+/// The event being handled: state, time and the effects so far.
+struct EventContext {
   EntryInstance& instance;
   TimePoint now;
   std::vector<EntryEffect>& effects;
 };
 
-void Log(Turn& turn, EventId id, const std::string& text,
+void Log(EventContext& context, EventId id, const std::string& text,
          Severity severity = Severity::kInfo) {
-  turn.effects.emplace_back(
+  context.effects.emplace_back(
       LogRecord{.id = id, .severity = severity, .text = text});
 }
 
-/// Asks what a control instance knows, without the contents.
-void SendBrief(Turn& turn, InstanceAddress to) {
+/// Asks a control instance for its state without the contents.
+void SendProbe(EventContext& context, InstanceAddress to) {
   wire::FleetMessage message;
   message.mutable_subscribe()->set_brief(true);
-  turn.effects.emplace_back(
+  context.effects.emplace_back(
       SendMessage{.to = to, .message = std::move(message)});
 }
 
-/// Moves what was seen of flows into a message.
-void TellOutcomes(Forwarder& forwarder, wire::Outcomes& outcomes) {
+/// Moves the flow outcomes that are not yet reported into a message.
+void DrainOutcomes(Forwarder& forwarder, wire::Outcomes& outcomes) {
   for (const auto& [server, delta] : forwarder.outcomes.untold) {
     wire::ServerOutcome& item = *outcomes.add_servers();
     item.set_id(forwarder.placement.servers[server].id);
@@ -65,10 +75,10 @@
   forwarder.outcomes.untold.clear();
 }
 
-void SendSubscribe(Turn& turn, InstanceAddress to) {
-  EntryInstance& instance = turn.instance;
+void SendSubscribe(EventContext& context, InstanceAddress to) {
+  EntryInstance& instance = context.instance;
   ControlSource& source = instance.sources.at(to);
-  source.asked_at = turn.now;
+  source.contents_requested_at = context.now;
   wire::FleetMessage message;
   wire::Subscribe& subscribe = *message.mutable_subscribe();
   subscribe.set_rules_version(instance.forwarder.routes.version);
@@ -76,14 +86,15 @@
   subscribe.set_registry_epoch(source.position.epoch);
   subscribe.set_registry_change(source.position.change);
   if (to == instance.primary) {
-    TellOutcomes(instance.forwarder, *subscribe.mutable_outcomes());
+    DrainOutcomes(instance.forwarder, *subscribe.mutable_outcomes());
   }
-  turn.effects.emplace_back(
+  context.effects.emplace_back(
       SendMessage{.to = to, .message = std::move(message)});
 }
 
-bool IsLost(const EntryInstance& instance, TimePoint now) {
-  return instance.primary == 0 || now - instance.fresh_at > kFreshLimit;
+bool LacksFreshPrimary(const EntryInstance& instance, TimePoint now) {
+  return instance.primary == 0 ||
+         now - instance.primary_fresh_at > kPrimaryTimeout;
 }
 
 bool IsLocal(const EntryInstance& instance, InstanceAddress control) {
@@ -92,98 +103,101 @@
          source->second.data_centre == instance.config.data_centre;
 }
 
-/// Following one of another data centre, asks those of the own one from time to
-/// time whether they can be followed again.
-void AskLocalSources(Turn& turn) {
-  EntryInstance& instance = turn.instance;
-  if (turn.now < instance.ask_local_at || IsLocal(instance, instance.primary)) {
+/// While the primary is in another data centre, probes the control instances of
+/// the own one at intervals, so that one of them can become the primary again.
+void ProbeLocalSources(EventContext& context) {
+  EntryInstance& instance = context.instance;
+  if (context.now < instance.local_probe_at ||
+      IsLocal(instance, instance.primary)) {
     return;
   }
-  instance.ask_local_at = turn.now + kLocalInterval;
+  instance.local_probe_at = context.now + kLocalProbeInterval;
   for (const auto& [address, source] : instance.sources) {
     if (IsLocal(instance, address)) {
-      SendBrief(turn, address);
+      SendProbe(context, address);
     }
   }
 }
 
-void Poll(Turn& turn) {
-  EntryInstance& instance = turn.instance;
-  if (!IsLost(instance, turn.now)) {
-    instance.poll_at = turn.now + kPollInterval;
-    SendSubscribe(turn, instance.primary);
-    AskLocalSources(turn);
+void PollControl(EventContext& context) {
+  EntryInstance& instance = context.instance;
+  if (!LacksFreshPrimary(instance, context.now)) {
+    instance.poll_at = context.now + kPollInterval;
+    SendSubscribe(context, instance.primary);
+    ProbeLocalSources(context);
     return;
   }
   if (instance.primary != 0) {
-    Log(turn, EventId::kControlLost,
+    Log(context, EventId::kControlLost,
         "control=" + FormatIp(instance.primary) + " silent_ms=" +
-            std::to_string(MillisecondsBetween(instance.fresh_at, turn.now)),
+            std::to_string(
+                MillisecondsBetween(instance.primary_fresh_at, context.now)),
         Severity::kWarning);
     instance.primary = 0;
-    instance.urgent_interval = kShortestUrgentInterval;
-  }
-  instance.poll_at = turn.now + instance.urgent_interval;
-  const bool few_answers = instance.answers * 2 < instance.sources.size();
-  instance.urgent_interval = std::min(
-      instance.urgent_interval * 2,
-      few_answers ? kLongestUnansweredInterval : kLongestUrgentInterval);
-  instance.answers = 0;
+    instance.probe_interval = kMinProbeInterval;
+  }
+  instance.poll_at = context.now + instance.probe_interval;
+  const bool few_replies = instance.probe_replies * 2 < instance.sources.size();
+  instance.probe_interval =
+      std::min(instance.probe_interval * 2,
+               few_replies ? kMaxUnansweredProbeInterval : kMaxProbeInterval);
+  instance.probe_replies = 0;
   for (const InstanceAddress seed : instance.config.seeds) {
     instance.sources.try_emplace(seed);
   }
   for (const auto& [address, source] : instance.sources) {
-    SendBrief(turn, address);
+    SendProbe(context, address);
   }
 }
 
-/// Asks for the contents when a control instance has some that are missing
-/// here. While several answer at once, one of them is enough.
-void AskForMissing(Turn& turn, InstanceAddress from,
-                   const wire::Update& update) {
-  EntryInstance& instance = turn.instance;
+/// Requests the contents when `update` shows that some are missing here. Only
+/// one control instance is asked when several send such updates at once.
+void RequestMissingContents(EventContext& context, InstanceAddress from,
+                            const wire::Update& update) {
+  EntryInstance& instance = context.instance;
   const bool newer_rules =
       update.rules_version() > instance.forwarder.routes.version;
   const bool first_servers = update.settled() && !instance.servers_known;
   if (!newer_rules && !first_servers) {
-    instance.answer_time = kAnswerTime;
+    instance.contents_request_interval = kMinContentsRequestInterval;
     return;
   }
-  const bool asked_just_now = std::any_of(
+  const bool requested_recently = std::any_of(
       instance.sources.begin(), instance.sources.end(), [&](const auto& item) {
-        return turn.now - item.second.asked_at < instance.answer_time;
+        return context.now - item.second.contents_requested_at <
+               instance.contents_request_interval;
       });
-  if (!asked_just_now) {
-    SendSubscribe(turn, from);
-    instance.answer_time =
-        std::min(instance.answer_time * 2, kLongestAnswerTime);
+  if (!requested_recently) {
+    SendSubscribe(context, from);
+    instance.contents_request_interval = std::min(
+        instance.contents_request_interval * 2, kMaxContentsRequestInterval);
   }
 }
 
-void UpdateServing(Turn& turn) {
-  EntryInstance& instance = turn.instance;
+void UpdateServingState(EventContext& context) {
+  EntryInstance& instance = context.instance;
   const bool serving = instance.rules_confirmed && instance.servers_known;
   if (serving && !instance.forwarder.serving) {
-    Log(turn, EventId::kServing,
+    Log(context, EventId::kServing,
         "version=" + std::to_string(instance.forwarder.routes.version) +
             " servers=" + std::to_string(instance.registry.servers.size()) +
             " held=" + std::to_string(instance.forwarder.held.openings.size()));
-    StartRelease(instance.forwarder.held, turn.now);
+    StartRelease(instance.forwarder.held, context.now);
   }
   instance.forwarder.serving = serving;
 }
 
-void TakeServers(Turn& turn, const wire::Update& update) {
-  EntryInstance& instance = turn.instance;
+void MergeServers(EventContext& context, const wire::Update& update) {
+  EntryInstance& instance = context.instance;
   bool changed = false;
   for (const wire::ServerRecord& record : update.servers()) {
     if (!CheckRecord(record).empty() ||
-        !MergeRecord(instance.registry, record, turn.now)) {
+        !MergeRecord(instance.registry, record, context.now)) {
       continue;
     }
     changed = true;
-    UpdateServer(instance.forwarder.placement, record, turn.now);
-    Log(turn, EventId::kServerChanged,
+    UpdateServer(instance.forwarder.placement, record, context.now);
+    Log(context, EventId::kServerChanged,
         "server=" + record.id() + " service=" + record.service() +
             " phase=" + wire::ServerPhase_Name(record.phase()) +
             " silent=" + std::to_string(record.silent()) +
@@ -195,21 +209,22 @@
   }
 }
 
-void TakeRoutes(Turn& turn, const wire::Update& update) {
-  EntryInstance& instance = turn.instance;
+void ApplyRoutesUpdate(EventContext& context, const wire::Update& update) {
+  EntryInstance& instance = context.instance;
   Forwarder& forwarder = instance.forwarder;
   if (update.has_routes() &&
       ApplyRoutes(forwarder.routes, update.routes(), forwarder.placement)) {
-    Log(turn, EventId::kRulesInForce,
+    Log(context, EventId::kRulesInForce,
         "version=" + std::to_string(forwarder.routes.version) +
             " base=" + std::to_string(update.routes().base_version()) +
             " routes=" + std::to_string(forwarder.routes.routes.size()));
   }
 }
 
-/// Whether a majority of the control instances has stored nothing newer than
-/// what is in force here. An accepted version is stored by a majority, so one
-/// of these would know it. The set of voters is that of whoever knows most.
+/// Returns whether a majority of the voters has stored no version newer than
+/// the rules in force here. An accepted version is stored by a majority, and
+/// any two majorities share a voter, so one of these voters would have it. The
+/// set of voters is that of the voter with the most committed entries.
 bool IsConfirmedByMajority(const EntryInstance& instance, TimePoint now) {
   const wire::Knowledge* latest = nullptr;
   for (const auto& [address, source] : instance.sources) {
@@ -225,10 +240,10 @@
   int agreeing = 0;
   for (const InstanceAddress voter : latest->control_instances()) {
     const auto source = instance.sources.find(voter);
-    const bool heard = source != instance.sources.end() &&
-                       source->second.knowledge.voter() &&
-                       now - source->second.knowledge_at <= kWordLifetime;
-    if (!heard) {
+    const bool is_current =
+        source != instance.sources.end() && source->second.knowledge.voter() &&
+        now - source->second.knowledge_received_at <= kKnowledgeLifetime;
+    if (!is_current) {
       continue;
     }
     if (source->second.knowledge.newest_version() >
@@ -240,71 +255,75 @@
   return 2 * agreeing > latest->control_instances_size();
 }
 
-void ConfirmRules(Turn& turn, const wire::Update& update) {
-  EntryInstance& instance = turn.instance;
+void ConfirmRules(EventContext& context, const wire::Update& update) {
+  EntryInstance& instance = context.instance;
   if (instance.rules_confirmed) {
     return;
   }
-  const bool by_leader =
+  const bool confirmed_by_leader =
       update.fresh() && update.rules_version() > 0 &&
       instance.forwarder.routes.version >= update.rules_version();
   instance.rules_confirmed =
-      by_leader || IsConfirmedByMajority(instance, turn.now);
+      confirmed_by_leader || IsConfirmedByMajority(instance, context.now);
 }
 
-/// Prefers a fresh source in the own data centre, then the one it has.
-void ChoosePrimary(Turn& turn, InstanceAddress from,
+/// Makes `from`, whose update was fresh, the primary when there is none, or
+/// when only the new one is in the own data centre.
+void ChoosePrimary(EventContext& context, InstanceAddress from,
                    const ControlSource& source) {
-  EntryInstance& instance = turn.instance;
+  EntryInstance& instance = context.instance;
   const bool local = source.data_centre == instance.config.data_centre;
   const bool has_local = IsLocal(instance, instance.primary);
   if (instance.primary == 0 || (local && !has_local)) {
     instance.primary = from;
-    instance.poll_at = turn.now;
-    Log(turn, EventId::kControlFound,
+    instance.poll_at = context.now;
+    Log(context, EventId::kControlFound,
         "control=" + FormatIp(from) + " data_centre=" + source.data_centre);
   }
 }
 
-/// Takes what a control instance knows by the word of another; what it said
-/// itself goes before an older word of it.
-void TakeKnowledge(ControlSource& source, const wire::Knowledge& knowledge,
-                   TimePoint now) {
+/// Merges knowledge of a control instance that another one has relayed.
+/// Relayed knowledge with fewer committed entries does not replace what is
+/// known, except that the newest version never decreases.
+void MergeRelayedKnowledge(ControlSource& source,
+                           const wire::Knowledge& knowledge, TimePoint now) {
   const std::uint64_t newest =
       std::max(source.knowledge.newest_version(), knowledge.newest_version());
   if (knowledge.seq() >= source.knowledge.seq()) {
     source.knowledge = knowledge;
-    source.knowledge_at = now;
+    source.knowledge_received_at = now;
   }
   source.knowledge.set_newest_version(newest);
 }
 
-/// A control instance that is new here may be the one of the own data centre.
-void NoteSource(Turn& turn, InstanceAddress address) {
-  if (turn.instance.sources.try_emplace(address).second) {
-    SendBrief(turn, address);
+/// Adds a control instance. A new one is probed at once, since it may be in the
+/// own data centre.
+void AddSource(EventContext& context, InstanceAddress address) {
+  if (context.instance.sources.try_emplace(address).second) {
+    SendProbe(context, address);
   }
 }
 
-void HandleUpdate(Turn& turn, InstanceAddress from,
+void HandleUpdate(EventContext& context, InstanceAddress from,
                   const wire::Update& update) {
-  EntryInstance& instance = turn.instance;
+  EntryInstance& instance = context.instance;
   for (const InstanceAddress address : update.control_instances()) {
-    NoteSource(turn, address);
+    AddSource(context, address);
   }
   for (const InstanceAddress address : update.standbys()) {
-    NoteSource(turn, address);
+    AddSource(context, address);
   }
   for (const wire::Knowledge& other : update.others()) {
-    TakeKnowledge(instance.sources[other.instance()], other, turn.now);
+    MergeRelayedKnowledge(instance.sources[other.instance()], other,
+                          context.now);
   }
-  instance.answers += 1;
+  instance.probe_replies += 1;
   ControlSource& source = instance.sources[from];
-  source.heard_at = turn.now;
+  source.heard_at = context.now;
   source.data_centre = update.data_centre();
   source.knowledge = KnowledgeIn(update);
-  source.knowledge_at = turn.now;
-  TakeServers(turn, update);
+  source.knowledge_received_at = context.now;
+  MergeServers(context, update);
   const bool has_contents = update.registry_epoch() != 0;
   if (has_contents) {
     NoteContents(source.position, update);
@@ -312,46 +331,46 @@
   instance.servers_known =
       instance.servers_known ||
       (has_contents && update.settled() && !update.partial());
-  TakeRoutes(turn, update);
-  ConfirmRules(turn, update);
-  AskForMissing(turn, from, update);
+  ApplyRoutesUpdate(context, update);
+  ConfirmRules(context, update);
+  RequestMissingContents(context, from, update);
   if (update.fresh()) {
-    source.fresh_at = turn.now;
-    ChoosePrimary(turn, from, source);
+    source.fresh_at = context.now;
+    ChoosePrimary(context, from, source);
     if (from == instance.primary) {
-      instance.fresh_at = turn.now;
+      instance.primary_fresh_at = context.now;
     }
   }
   if (update.confirm()) {
-    SendSubscribe(turn, from);
+    SendSubscribe(context, from);
   }
-  UpdateServing(turn);
+  UpdateServingState(context);
 }
 
 struct EventVisitor {
-  Turn& turn;
+  EventContext& context;
   void operator()(const EntryStarted&) {
-    EntryInstance& instance = this->turn.instance;
-    instance.started_at = this->turn.now;
-    instance.housekeeping_at = this->turn.now + kHousekeepingInterval;
-    Poll(this->turn);
+    EntryInstance& instance = this->context.instance;
+    instance.started_at = this->context.now;
+    instance.housekeeping_at = this->context.now + kHousekeepingInterval;
+    PollControl(this->context);
   }
   void operator()(const EntryDue&) {
-    EntryInstance& instance = this->turn.instance;
-    ExpireFlows(instance.forwarder, this->turn.now);
-    if (this->turn.now >= instance.poll_at) {
-      Poll(this->turn);
+    EntryInstance& instance = this->context.instance;
+    ExpireFlows(instance.forwarder, this->context.now);
+    if (this->context.now >= instance.poll_at) {
+      PollControl(this->context);
     }
-    if (this->turn.now >= instance.housekeeping_at) {
-      instance.housekeeping_at = this->turn.now + kHousekeepingInterval;
-      ForgetGone(instance.registry, kGoneRetention, this->turn.now);
+    if (this->context.now >= instance.housekeeping_at) {
+      instance.housekeeping_at = this->context.now + kHousekeepingInterval;
+      ForgetGone(instance.registry, kGoneRetention, this->context.now);
     }
     if (instance.stopping && !instance.stopped &&
-        this->turn.now >= instance.stop_at) {
+        this->context.now >= instance.stop_at) {
       instance.stopped = true;
-      Log(this->turn, EventId::kStopped,
+      Log(this->context, EventId::kStopped,
           "flows=" + std::to_string(instance.forwarder.flows.size()));
-      this->turn.effects.emplace_back(EntryStopped{});
+      this->context.effects.emplace_back(EntryStopped{});
     }
   }
   void operator()(const PeerMessage& event) {
@@ -360,24 +379,24 @@
     }
     wire::Update update = event.message.update();
     if (Unpack(update)) {
-      HandleUpdate(this->turn, event.from, update);
+      HandleUpdate(this->context, event.from, update);
     } else {
-      Log(this->turn, EventId::kMalformedInput,
-          "an update of " + FormatIp(event.from), Severity::kWarning);
+      Log(this->context, EventId::kMalformedInput,
+          "malformed update from " + FormatIp(event.from), Severity::kWarning);
     }
   }
   void operator()(const EntryStopRequested&) {
-    EntryInstance& instance = this->turn.instance;
+    EntryInstance& instance = this->context.instance;
     if (!instance.stopping) {
       instance.stopping = true;
-      instance.stop_at = this->turn.now + kStopDelay;
-      Log(this->turn, EventId::kStopping,
+      instance.stop_at = this->context.now + kStopDelay;
+      Log(this->context, EventId::kStopping,
           "flows=" + std::to_string(instance.forwarder.flows.size()));
     }
   }
   void operator()(const SeedsChanged& event) {
-    this->turn.instance.config.seeds = event.seeds;
-    Log(this->turn, EventId::kSettingsReloaded,
+    this->context.instance.config.seeds = event.seeds;
+    Log(this->context, EventId::kSettingsReloaded,
         "seeds=" + std::to_string(event.seeds.size()));
   }
 };
@@ -386,8 +405,8 @@
 
 EntryInstance MakeEntryInstance(const FleetConfig& config) {
   EntryInstance instance{.config = config};
-  instance.urgent_interval = kShortestUrgentInterval;
-  instance.answer_time = kAnswerTime;
+  instance.probe_interval = kMinProbeInterval;
+  instance.contents_request_interval = kMinContentsRequestInterval;
   instance.forwarder.placement.config = {.data_centre = config.data_centre,
                                          .seed = config.incarnation};
   instance.forwarder.refuses_overload = config.refuse_overload;
@@ -398,8 +417,8 @@
                                 const EntryEvent& event, TimePoint now) {
   NoteStall(instance, now);
   std::vector<EntryEffect> effects;
-  Turn turn{.instance = instance, .now = now, .effects = effects};
-  std::visit(EventVisitor{.turn = turn}, event);
+  EventContext context{.instance = instance, .now = now, .effects = effects};
+  std::visit(EventVisitor{.context = context}, event);
   return effects;
 }
 
@@ -414,8 +433,8 @@
 
 void NoteStall(EntryInstance& instance, TimePoint now) {
   const bool started = instance.started_at != TimePoint();
-  if (started && now > NextDue(instance) + kStallLimit) {
-    instance.forwarder.discard_openings_until = now + kStallDiscard;
+  if (started && now > NextDue(instance) + kStallThreshold) {
+    instance.forwarder.discard_openings_until = now + kStallDiscardTime;
     ForgetMeasured(instance.forwarder.admission);
   }
 }
--- a/Source/Fleet/EntryInstance.h
+++ b/Source/Fleet/EntryInstance.h
@@ -11,22 +11,23 @@
 #include "Forwarding/Forwarder.h"
 #include "Registry/Registry.h"
 
-/// An entry instance of a fleet: forwards packets by the rules and the backend
-/// servers that it hears of from a control instance.
+/// State machine of an entry instance: forwards packets by the rules and
+/// backend servers that control instances publish.
 ///
-/// A reducer without clock, socket, disk or random source. Packets go to
-/// `forwarder` directly, by `DecidePacket`. Not thread safe.
+/// A reducer without clock, socket, disk or random source. Packets do not pass
+/// through `Reduce`; the caller passes them to `DecidePacket` with `forwarder`.
+/// Not thread safe.
 namespace filbertwall {
 
-/// A control instance as this one hears it.
+/// A control instance, as known to this entry instance.
 struct ControlSource {
   RegistryPosition position;
   std::string data_centre;
-  TimePoint heard_at;
-  TimePoint fresh_at;         ///< Last time that it knew the newest rules.
-  TimePoint asked_at;         ///< Last time that its contents were asked for.
-  wire::Knowledge knowledge;  ///< By its own or another's word.
-  TimePoint knowledge_at;     ///< When that word came.
+  TimePoint heard_at;               ///< Time of its last update.
+  TimePoint fresh_at;               ///< Time of its last fresh update.
+  TimePoint contents_requested_at;  ///< Last `Subscribe` that was not brief.
+  wire::Knowledge knowledge;        ///< Stated by it or relayed by another.
+  TimePoint knowledge_received_at;
 };
 
 struct EntryInstance {
@@ -34,50 +35,57 @@
   Forwarder forwarder;
   Registry registry;
   std::map<InstanceAddress, ControlSource> sources;
-  InstanceAddress primary = 0;  ///< The one that is asked; 0: all are.
-  TimePoint fresh_at;
-  bool rules_confirmed = false;  ///< Since this start.
-  bool servers_known = false;
+  /// The control instance that is polled; 0: none, so all are probed.
+  InstanceAddress primary = 0;
+  TimePoint primary_fresh_at;  ///< Last fresh update from `primary`.
+  /// Whether the rules were confirmed as the newest since this start.
+  bool rules_confirmed = false;
+  bool servers_known = false;  ///< All backend servers have been received.
   bool stopping = false;
   bool stopped = false;
   TimePoint started_at;
-  TimePoint poll_at;
-  TimePoint ask_local_at;
-  Milliseconds urgent_interval{0};  ///< Until all are asked again.
-  std::size_t answers = 0;          ///< Since all were asked.
-  Milliseconds answer_time{0};      ///< Until contents are asked for again.
+  TimePoint poll_at;  ///< Next poll of the primary, or probe of all.
+  TimePoint local_probe_at;
+  Milliseconds probe_interval{0};  ///< Until all are probed again.
+  std::size_t probe_replies = 0;   ///< Updates since all were probed.
+  /// Minimum time between two requests for missing contents.
+  Milliseconds contents_request_interval{0};
   TimePoint housekeeping_at;
   TimePoint stop_at;
 };
 
 struct EntryStarted {};
+/// The time that `NextDue` returned has come.
 struct EntryDue {};
 struct EntryStopRequested {};
-/// The settings name other control instances now.
+/// The list of seeds in the settings has changed.
 struct SeedsChanged {
   std::set<InstanceAddress> seeds;
 };
 using EntryEvent = std::variant<EntryStarted, EntryDue, PeerMessage,
                                 EntryStopRequested, SeedsChanged>;
 
-/// The process may end.
+/// Effect: the process may exit.
 struct EntryStopped {};
 using EntryEffect = std::variant<SendMessage, LogRecord, EntryStopped>;
 
 EntryInstance MakeEntryInstance(const FleetConfig& config);
 
-/// Applies one event. Precondition: `now` never goes back.
+/// Applies one event and returns the effects to carry out, in order.
+/// Precondition: `now` is never less than in an earlier call.
 std::vector<EntryEffect> Reduce(EntryInstance& instance,
                                 const EntryEvent& event, TimePoint now);
 
-/// When `EntryDue` is next of use.
+/// Returns when the next `EntryDue` event is needed.
 TimePoint NextDue(const EntryInstance& instance);
 
-/// Notes when this instance runs again much later than it was due, since it was
-/// frozen or had no processor. Call before packets are decided on.
+/// Detects a stall: a timer that is long overdue, because the process was
+/// suspended or had no processor time. After a stall, opening packets that have
+/// queued up are discarded and measurements of admission are reset. Must be
+/// called before `DecidePacket`.
 void NoteStall(EntryInstance& instance, TimePoint now);
 
-/// Whether new flows may be sent here.
+/// Returns whether new flows may be sent to this instance.
 bool IsReady(const EntryInstance& instance);
 
 }  // namespace filbertwall
--- a/Source/Fleet/Fleet.cc
+++ b/Source/Fleet/Fleet.cc
@@ -6,9 +6,9 @@
 
 void NoteContents(RegistryPosition& position, const wire::Update& update) {
   if (update.registry_epoch() == position.epoch) {
-    const bool follows = update.registry_from() <= position.change;
-    // Updates may overtake each other.
-    position.change = follows
+    const bool contiguous = update.registry_from() <= position.change;
+    // Updates may arrive out of order, so the position never moves back.
+    position.change = contiguous
                           ? std::max(position.change, update.registry_change())
                           : position.change;
   } else if (update.registry_from() == 0) {
--- a/Source/Fleet/Fleet.h
+++ b/Source/Fleet/Fleet.h
@@ -11,46 +11,53 @@
 #include "Control/Replica.h"
 #include "Wire/distribution.pb.h"
 
-/// What the instances of a fleet have in common: instances that find each other
-/// at run time, each known by its IPv4 address.
+/// Types that entry instances and control instances of a fleet share.
+///
+/// The instances discover each other at run time; each is identified by its
+/// IPv4 address.
 namespace filbertwall {
 
-/// An instance's IPv4 address in host byte order; also its id in control.
+/// IPv4 address of an instance in host byte order; also its replica id.
 using InstanceAddress = std::uint32_t;
 
 /// Settings that both kinds of instance use.
 struct FleetConfig {
   InstanceAddress self = 0;
   std::string data_centre;
-  std::set<InstanceAddress> seeds;       ///< Control instances to ask first.
-  std::uint32_t tolerated_losses = 1;    ///< Disks that may be lost at once.
-  Milliseconds announce_interval{1000};  ///< Between a server's reports.
-  bool refuse_overload = true;    ///< New flows that would be served too late.
+  std::set<InstanceAddress> seeds;     ///< Control instances to contact first.
+  std::uint32_t tolerated_losses = 1;  ///< Disks that may be lost at once.
+  Milliseconds announce_interval{1000};  ///< Between reports of a server.
+  /// Whether new flows are refused when their answer would come too late.
+  bool refuse_overload = true;
   std::uint64_t incarnation = 0;  ///< Differs at each start.
 };
 
-/// A message of another instance.
+/// A message received from another instance.
 struct PeerMessage {
   InstanceAddress from = 0;
   wire::FleetMessage message;
 };
 
-/// Sends a message once; whoever needs an answer asks again.
+/// Effect: sends a message once. Delivery is not guaranteed; a sender that
+/// needs an answer repeats its request.
 struct SendMessage {
   InstanceAddress to = 0;
   wire::FleetMessage message;
 };
 
-/// How far the records of one control instance have arrived here.
+/// The part of a control instance's registry that has been received from it.
 struct RegistryPosition {
-  std::uint64_t epoch = 0;   ///< The start of that control instance.
-  std::uint64_t change = 0;  ///< All changes up to it have arrived.
+  std::uint64_t epoch = 0;   ///< Identifies the start of that instance.
+  std::uint64_t change = 0;  ///< All changes up to this one are received.
 };
 
-/// What the sender of `update` says that it knows; its address is left out.
+/// Returns the knowledge that the sender of `update` states about itself. The
+/// `instance` field is not set.
 wire::Knowledge KnowledgeIn(const wire::Update& update);
 
-/// Moves on when the records of `update` follow on what has arrived.
+/// Advances `position` over the records of `update`, unless changes between the
+/// two are missing. After a restart of the sender, only an update that starts
+/// at change 0 moves it.
 void NoteContents(RegistryPosition& position, const wire::Update& update);
 
 }  // namespace filbertwall
--- a/Source/Fleet/Metrics.cc
+++ b/Source/Fleet/Metrics.cc
@@ -35,19 +35,19 @@
   return std::chrono::duration<double>(to - from).count();
 }
 
-void AddProcess(Samples& samples, const ProcessFigures& figures) {
+void AddProcessMetrics(Samples& samples, const ProcessFigures& process) {
   AddCounter(samples, "log_lines_lost_total",
              "Log lines that a slow reader did not take.",
-             figures.log_lines_lost);
+             process.log_lines_lost);
   AddCounter(samples, "malformed_messages_total",
              "Datagrams between instances that could not be read.",
-             figures.malformed_messages);
+             process.malformed_messages);
   AddCounter(samples, "message_bytes_sent_total",
              "Bytes sent to other instances, without transport headers.",
-             figures.message_bytes_sent);
+             process.message_bytes_sent);
 }
 
-void AddServers(Samples& samples, const Registry& registry) {
+void AddServerMetrics(Samples& samples, const Registry& registry) {
   double ready = 0;
   double draining = 0;
   double silent = 0;
@@ -67,49 +67,51 @@
 }  // namespace
 
 std::vector<MetricSample> CollectMetrics(const EntryInstance& instance,
-                                         const ProcessFigures& figures,
+                                         const ProcessFigures& process,
                                          TimePoint now) {
   Samples samples;
-  AddProcess(samples, figures);
-  AddServers(samples, instance.registry);
+  AddProcessMetrics(samples, process);
+  AddServerMetrics(samples, instance.registry);
   const ForwarderCounters& counters = instance.forwarder.counters;
-  const std::string packets = "Packets of callers, by what was decided.";
-  AddCounter(samples, "packets_total", packets, counters.forwarded,
+  const std::string packets_help = "Packets of callers, by what was decided.";
+  AddCounter(samples, "packets_total", packets_help, counters.forwarded,
              "forwarded");
-  AddCounter(samples, "packets_total", packets, counters.placed, "placed");
-  AddCounter(samples, "packets_total", packets, counters.placed_again,
+  AddCounter(samples, "packets_total", packets_help, counters.placed, "placed");
+  AddCounter(samples, "packets_total", packets_help, counters.placed_again,
              "placed_again");
-  AddCounter(samples, "packets_total", packets, counters.no_route, "no_route");
-  AddCounter(samples, "packets_total", packets, counters.no_server,
+  AddCounter(samples, "packets_total", packets_help, counters.no_route,
+             "no_route");
+  AddCounter(samples, "packets_total", packets_help, counters.no_server,
              "no_server");
-  AddCounter(samples, "packets_total", packets, counters.overload, "overload");
-  AddCounter(samples, "packets_total", packets, counters.unknown_token,
+  AddCounter(samples, "packets_total", packets_help, counters.overload,
+             "overload");
+  AddCounter(samples, "packets_total", packets_help, counters.unknown_token,
              "unknown_token");
-  AddCounter(samples, "packets_total", packets, figures.malformed_packets,
+  AddCounter(samples, "packets_total", packets_help, process.malformed_packets,
              "malformed");
-  const std::string held =
+  const std::string held_help =
       "Opening packets that came before this instance served.";
-  AddCounter(samples, "held_openings_total", held,
+  AddCounter(samples, "held_openings_total", held_help,
              instance.forwarder.held.released, "released");
-  AddCounter(samples, "held_openings_total", held,
+  AddCounter(samples, "held_openings_total", held_help,
              instance.forwarder.held.lapsed, "lapsed");
   AddCounter(samples, "packet_send_failures_total",
-             "Packets that the socket did not take.", figures.send_failures);
+             "Packets that the socket did not take.", process.send_failures);
   AddCounter(samples, "flows_expired_total",
              "Flows whose end was not seen within their time limit.",
              counters.expired);
   AddCounter(samples, "orders_refused_total",
              "New flows refused for load whose requests may not be repeated.",
              instance.forwarder.admission.counters.refused_orders);
-  double slowest = 0;
+  double max_slowness = 0;
   for (std::uint32_t i = 0; i < instance.forwarder.admission.services.size();
        ++i) {
-    slowest = std::max(slowest,
-                       ExpectedSlowness(instance.forwarder.admission, i, now));
+    max_slowness = std::max(
+        max_slowness, ExpectedSlowness(instance.forwarder.admission, i, now));
   }
   AddGauge(samples, "expected_slowness",
            "Expected time to an answer by its objective, slowest service.",
-           slowest);
+           max_slowness);
   AddGauge(samples, "flows_open", "Flows that were opened here.",
            static_cast<double>(instance.forwarder.flows.size()));
   const auto avoided = std::count_if(
@@ -123,11 +125,11 @@
            static_cast<double>(instance.forwarder.routes.version));
   AddGauge(samples, "rules_age_seconds",
            "Time since a control instance confirmed the newest rules.",
-           SecondsBetween(instance.fresh_at, now));
+           SecondsBetween(instance.primary_fresh_at, now));
   AddGauge(samples, "serving", "1 when new flows may be sent here.",
            IsReady(instance) ? 1 : 0);
   AddHistogram(samples, "packet_batch_seconds",
-               "From receiving packets to having sent them on.", figures.batch);
+               "From receiving packets to having sent them on.", process.batch);
   AddHistogram(samples, "first_answer_seconds",
                "From a flow's first packet to its caller's next one.",
                instance.forwarder.first_answer);
@@ -135,11 +137,11 @@
 }
 
 std::vector<MetricSample> CollectMetrics(const ControlInstance& instance,
-                                         const ProcessFigures& figures,
+                                         const ProcessFigures& process,
                                          TimePoint now) {
   Samples samples;
-  AddProcess(samples, figures);
-  AddServers(samples, instance.registry);
+  AddProcessMetrics(samples, process);
+  AddServerMetrics(samples, instance.registry);
   const Replica& replica = instance.replica;
   AddGauge(samples, "leader", "1 when this instance leads with a lease.",
            HasLease(replica, now) ? 1 : 0);
@@ -170,7 +172,7 @@
                "From proposing rules to a majority having stored them.",
                instance.commit_time);
   AddHistogram(samples, "sync_seconds", "Durable writes of the log.",
-               figures.sync);
+               process.sync);
   return samples;
 }
 
--- a/Source/Fleet/Metrics.h
+++ b/Source/Fleet/Metrics.h
@@ -8,8 +8,8 @@
 #include "Fleet/ControlInstance.h"
 #include "Fleet/EntryInstance.h"
 
-/// What an instance counts, as data for whoever serves it. docs/METRICS.md
-/// lists all names.
+/// Metrics of an instance, independent of the exposition format.
+/// docs/METRICS.md lists all names.
 namespace filbertwall {
 
 struct Counter {
@@ -22,26 +22,27 @@
 struct MetricSample {
   std::string name;
   std::string help;
-  std::string label;  ///< Value of the label `kind`; empty: none.
+  std::string label;  ///< Value of the label `kind`; empty: no label.
   std::variant<Counter, Gauge, Histogram> value;
 };
 
-/// Figures of the process that no reducer sees.
+/// Metrics that the process measures outside the reducers.
 struct ProcessFigures {
   std::uint64_t log_lines_lost = 0;
   std::uint64_t malformed_messages = 0;
   std::uint64_t malformed_packets = 0;
   std::uint64_t send_failures = 0;
   std::uint64_t message_bytes_sent = 0;
-  Histogram batch;  ///< Packets: from receiving a batch to having sent it.
-  Histogram sync;   ///< Control: each durable write.
+  Histogram batch;  ///< Entry: from receipt of a packet batch to sending it on.
+  Histogram sync;   ///< Control: duration of each durable write.
 };
 
+/// Returns the metrics of an instance at the time `now`.
 std::vector<MetricSample> CollectMetrics(const EntryInstance& instance,
-                                         const ProcessFigures& figures,
+                                         const ProcessFigures& process,
                                          TimePoint now);
 std::vector<MetricSample> CollectMetrics(const ControlInstance& instance,
-                                         const ProcessFigures& figures,
+                                         const ProcessFigures& process,
                                          TimePoint now);
 
 }  // namespace filbertwall
