--- a/Tests/Fleet/FleetTest.cc
+++ b/Tests/Fleet/FleetTest.cc
@@ -15,7 +15,8 @@
          answer->second.verdict == CallVerdict::kAccepted;
 }
 
-InstanceAddress LeaderOf(const FleetWorld& world) {
+/// Returns the control instance that leads with a lease, or 0.
+InstanceAddress FindLeader(const FleetWorld& world) {
   for (const auto& [id, instance] : world.controls) {
     if (!world.down.contains(id) && HasLease(instance.replica, world.now)) {
       return id;
@@ -24,8 +25,8 @@
   return 0;
 }
 
-/// The first control instance that does not vote.
-InstanceAddress StandbyOf(const FleetWorld& world) {
+/// Returns the first control instance that does not vote, or 0.
+InstanceAddress FindStandby(const FleetWorld& world) {
   for (const auto& [id, control] : world.controls) {
     if (!IsVoter(control.replica)) {
       return id;
@@ -48,7 +49,7 @@
   }
 };
 
-TEST(Fleet, AcceptedRulesAndServersAreEverywhere) {
+TEST(Fleet, AcceptedRulesAndServersReachAllInstances) {
   for (const auto& [id, entry] : this->world.entries) {
     CHECK(IsReady(entry));
     CHECK_EQUAL(5, VersionAt(this->world, id));
@@ -62,13 +63,13 @@
 }
 
 TEST(Fleet, AStandbyServesItsDataCentreLikeAVoter) {
-  const InstanceAddress standby = StandbyOf(this->world);
+  const InstanceAddress standby = FindStandby(this->world);
   CHECK(standby != 0);
-  bool followed = false;
+  bool is_primary = false;
   for (const auto& [id, entry] : this->world.entries) {
-    followed = followed || entry.primary == standby;
+    is_primary = is_primary || entry.primary == standby;
   }
-  CHECK(followed);
+  CHECK(is_primary);
   const CallId call =
       Report(this->world, standby, "a1", 2, wire::SERVER_DRAINING);
   Run(this->world, Milliseconds(50));
@@ -79,7 +80,7 @@
 }
 
 TEST(Fleet, AServerThatReportsToAStandbyIsNotSilent) {
-  const InstanceAddress standby = StandbyOf(this->world);
+  const InstanceAddress standby = FindStandby(this->world);
   for (int i = 0; i < 12; ++i) {
     Report(this->world, standby, "a1", static_cast<std::uint64_t>(2 + i));
     Run(this->world, Milliseconds(1000));
@@ -112,7 +113,7 @@
 }
 
 TEST(Fleet, LeavingServerIsNotAnsweredByAnIsolatedControlInstance) {
-  this->world.cut = [](InstanceAddress from, InstanceAddress to) {
+  this->world.is_lost = [](InstanceAddress from, InstanceAddress to) {
     return from == 3 || to == 3;
   };
   const CallId call = Report(this->world, 3, "a1", 2, wire::SERVER_DRAINING);
@@ -120,10 +121,10 @@
   CHECK_FALSE(IsAccepted(this->world, call));
 }
 
-TEST(Fleet, LostMessagesAreMadeUpForWithinTwoSeconds) {
-  int sent = 0;
-  this->world.cut = [&sent](InstanceAddress, InstanceAddress) {
-    return ++sent % 3 == 0;
+TEST(Fleet, RecoversFromLostMessagesWithinTwoSeconds) {
+  int message_count = 0;
+  this->world.is_lost = [&message_count](InstanceAddress, InstanceAddress) {
+    return ++message_count % 3 == 0;
   };
   CHECK(SubmitUntilAccepted(this->world, 9));
   Report(this->world, 2, "a1", 2, wire::SERVER_DRAINING);
@@ -135,7 +136,7 @@
 }
 
 TEST(Fleet, EntryInstancesLeaveAnIsolatedControlInstance) {
-  this->world.cut = [](InstanceAddress from, InstanceAddress to) {
+  this->world.is_lost = [](InstanceAddress from, InstanceAddress to) {
     const bool one = from == 1 || to == 1;
     return one && from < kFirstEntry && to < kFirstEntry;
   };
@@ -148,25 +149,26 @@
 }
 
 TEST(Fleet, EntryInstanceThatStartsCutOffDoesNotServe) {
-  this->world.cut = [](InstanceAddress from, InstanceAddress to) {
+  this->world.is_lost = [](InstanceAddress from, InstanceAddress to) {
     return from == kFirstEntry || to == kFirstEntry;
   };
   StartEntry(this->world, kFirstEntry);
   Run(this->world, Milliseconds(5000));
   CHECK_FALSE(IsReady(this->world.entries.at(kFirstEntry)));
-  this->world.cut = [](InstanceAddress, InstanceAddress) { return false; };
+  this->world.is_lost = [](InstanceAddress, InstanceAddress) { return false; };
   Run(this->world, Milliseconds(1000));
   CHECK(IsReady(this->world.entries.at(kFirstEntry)));
 }
 
 TEST(Fleet, EntryInstanceBesideAStaleControlInstanceDoesNotServe) {
-  // Control instance 1 misses a version, then is all that can be reached.
-  this->world.cut = [](InstanceAddress from, InstanceAddress to) {
+  // Control instance 1 misses a version, and is then the only one that the
+  // entry instance can reach. Its rules must not be taken for the newest.
+  this->world.is_lost = [](InstanceAddress from, InstanceAddress to) {
     return from == 1 || to == 1;
   };
   Run(this->world, Milliseconds(2000));
   CHECK(SubmitUntilAccepted(this->world, 9));
-  this->world.cut = [](InstanceAddress from, InstanceAddress to) {
+  this->world.is_lost = [](InstanceAddress from, InstanceAddress to) {
     const bool pair =
         (from == 1 && to == kFirstEntry) || (from == kFirstEntry && to == 1);
     return !pair &&
@@ -192,10 +194,10 @@
     CHECK_EQUAL(9, VersionAt(this->world, id));
     CHECK(IsUsableAt(this->world, id, "a1"));
   }
-  CHECK(LeaderOf(this->world) != 0);
+  CHECK(FindLeader(this->world) != 0);
 }
 
-TEST(Fleet, RememberedServersThatDoNotReportAgainAreLeftOut) {
+TEST(Fleet, SavedServersThatDoNotReportAgainAreNotUsed) {
   Run(this->world, Milliseconds(1500));
   for (InstanceAddress id = 1; id <= 4; ++id) {
     StartControl(this->world, id, false);
@@ -212,24 +214,24 @@
 
 TEST(Fleet, ALostDiskLosesNothing) {
   CHECK(SubmitUntilAccepted(this->world, 9));
-  const InstanceAddress leader = LeaderOf(this->world);
+  const InstanceAddress leader = FindLeader(this->world);
   this->world.disks[leader].clear();
   this->world.saved.erase(leader);
   for (InstanceAddress id = 1; id <= 4; ++id) {
     StartControl(this->world, id, false);
   }
   Run(this->world, Milliseconds(6000));
-  CHECK(LeaderOf(this->world) != 0);
+  CHECK(FindLeader(this->world) != 0);
   for (const auto& [id, control] : this->world.controls) {
     CHECK_EQUAL(9, control.replica.committed.rules().version());
-    CHECK(IsVoter(control.replica) || id == StandbyOf(this->world));
+    CHECK(IsVoter(control.replica) || id == FindStandby(this->world));
     CHECK(KnowsNewest(control.replica, this->world.now, Milliseconds(400)));
   }
 }
 
 TEST(Fleet, ReadsComeFromALeaderWithALeaseOnly) {
-  const InstanceAddress leader = LeaderOf(this->world);
-  this->world.cut = [leader](InstanceAddress from, InstanceAddress to) {
+  const InstanceAddress leader = FindLeader(this->world);
+  this->world.is_lost = [leader](InstanceAddress from, InstanceAddress to) {
     return from == leader || to == leader;
   };
   Run(this->world, Milliseconds(2500));
@@ -255,7 +257,7 @@
 }
 
 TEST(Fleet, AFailedDiskMakesNoPromiseUntilItWorksAgain) {
-  const InstanceAddress leader = LeaderOf(this->world);
+  const InstanceAddress leader = FindLeader(this->world);
   Apply(this->world, leader, ControlInstanceEvent(ControlDiskFailed{}));
   const CallId call = Submit(this->world, leader, 9);
   Run(this->world, Milliseconds(100));
@@ -269,7 +271,7 @@
   CHECK_EQUAL(9, restored.replica.committed.rules().version());
 }
 
-TEST(Fleet, LateWordThatAServerHasLeftDoesNotEndItsSuccessor) {
+TEST(Fleet, LateGoneRecordDoesNotRemoveALaterIncarnation) {
   ServerReported fresh{.call = 900};
   fresh.record.set_id("a1");
   fresh.record.set_service("proof");
@@ -298,17 +300,17 @@
   NoteStall(entry, this->world.now);
   CHECK(DecidePacket(entry.forwarder, opening, this->world.now).verdict ==
         Verdict::kForward);
-  const TimePoint woken = this->world.now + std::chrono::seconds(2);
-  NoteStall(entry, woken);
-  CHECK(DecidePacket(entry.forwarder, opening, woken).reason ==
+  const TimePoint resumed = this->world.now + std::chrono::seconds(2);
+  NoteStall(entry, resumed);
+  CHECK(DecidePacket(entry.forwarder, opening, resumed).reason ==
         ForwardReason::kStale);
   Apply(this->world, kFirstEntry, EntryEvent(EntryDue{}));
-  const TimePoint later = woken + Milliseconds(200);
-  CHECK(DecidePacket(entry.forwarder, opening, later).verdict ==
+  const TimePoint after_discard = resumed + Milliseconds(200);
+  CHECK(DecidePacket(entry.forwarder, opening, after_discard).verdict ==
         Verdict::kForward);
 }
 
-TEST(Fleet, ManyServersTravelInSmallMessages) {
+TEST(Fleet, ManyServersAreSplitIntoSmallMessages) {
   constexpr int kServers = 1000;
   constexpr int kLargestBatch = 100;
   for (int i = 0; i < kServers; ++i) {
@@ -331,26 +333,26 @@
   CHECK(records <= 2 * kServers);
 }
 
-TEST(Fleet, ControlInstancesTellWhoReportsOnceASecond) {
-  std::size_t told = 0;
+TEST(Fleet, ControlInstancesListReportingServersOnceASecond) {
+  std::size_t list_count = 0;
   this->world.sent = [&](InstanceAddress, const SendMessage& effect) {
-    told += effect.message.update().heard_size() > 0 ? 1 : 0;
+    list_count += effect.message.update().heard_size() > 0 ? 1 : 0;
   };
   constexpr int kSeconds = 3;
   for (int i = 0; i < kSeconds * 20; ++i) {
     Report(this->world, 1, "c" + std::to_string(i), 1);
     Run(this->world, Milliseconds(50));
   }
-  // Each of two instances that servers report to tells three others.
-  CHECK(told <= 2 * 3 * (kSeconds + 1));
-  CHECK(told > 0);
+  // Two control instances receive reports; each sends its list to three others.
+  CHECK(list_count <= 2 * 3 * (kSeconds + 1));
+  CHECK(list_count > 0);
 }
 
 TEST(Fleet, ServesOnceAMajorityIsBackThoughTheSeedsComeLast) {
   CHECK(SubmitUntilAccepted(this->world, 9));
   Run(this->world, Milliseconds(1500));
-  // Entry instances ask the seeds by themselves every 120 ms; they are told
-  // sooner, whenever the third control instance comes back.
+  // Entry instances probe the seeds only every 120 ms. The control instances
+  // that run notify them sooner, at whatever time the third one returns.
   for (Milliseconds pause{150}; pause < Milliseconds(270);
        pause += Milliseconds(15)) {
     FleetWorld fresh = this->world;
@@ -360,7 +362,7 @@
     for (InstanceAddress id = kFirstEntry; id < kFirstEntry + 4; ++id) {
       StartEntry(fresh, id);
     }
-    StartControl(fresh, 4, false);  // No seed: nobody asks it first.
+    StartControl(fresh, 4, false);  // Not a seed.
     Run(fresh, Milliseconds(200));
     StartControl(fresh, 3, false);
     Run(fresh, pause);
@@ -377,14 +379,14 @@
   Report(this->world, 1, "a3", 1);
   Report(this->world, 2, "a4", 1);
   Run(this->world, Milliseconds(500));
-  const auto mark = [this](InstanceAddress entry) {
+  const auto is_failing = [this](InstanceAddress entry) {
     const Placement& placement =
         this->world.entries.at(entry).forwarder.placement;
     return placement.servers[placement.by_id.at("a1")].failing;
   };
-  const auto play = [this](int steps, std::uint32_t failed) {
+  const auto run_flows = [this](int steps, std::uint32_t failed) {
     for (int i = 0; i < steps; ++i) {
-      // One entry instance sees one flow of each server each 200 ms.
+      // One entry instance observes one flow of each server every 200 ms.
       Forwarder& forwarder = this->world.entries.at(kFirstEntry).forwarder;
       for (const auto& [id, index] : forwarder.placement.by_id) {
         OutcomeDelta& delta = forwarder.outcomes.untold[index];
@@ -393,25 +395,26 @@
       Run(this->world, Milliseconds(200));
     }
   };
-  play(10, 0);
-  CHECK_FALSE(mark(kFirstEntry));
-  play(10, 1);
+  run_flows(10, 0);
+  CHECK_FALSE(is_failing(kFirstEntry));
+  run_flows(10, 1);
   for (const auto& [id, entry] : this->world.entries) {
-    CHECK(mark(id));
+    CHECK(is_failing(id));
   }
-  // What the server says of itself changes nothing.
+  // A report of the server itself does not clear the mark.
   Report(this->world, 3, "a1", 5);
   Run(this->world, Milliseconds(300));
-  CHECK(mark(kFirstEntry + 2));
-  play(60, 0);
+  CHECK(is_failing(kFirstEntry + 2));
+  run_flows(60, 0);
   for (const auto& [id, entry] : this->world.entries) {
-    CHECK_FALSE(mark(id));
+    CHECK_FALSE(is_failing(id));
   }
 }
 
-TEST(Fleet, WordsOfVotersHeardLongAgoMakeNoMajority) {
-  // A version that was accepted between the two words would be missed.
-  const auto word = [](InstanceAddress from, std::uint64_t version) {
+TEST(Fleet, OutdatedVoterKnowledgeDoesNotCountTowardsAMajority) {
+  // Two voters state the same version, 4 seconds apart. A newer version that
+  // was accepted in between would be missed.
+  const auto make_update = [](InstanceAddress from, std::uint64_t version) {
     PeerMessage event{.from = from};
     wire::Update& update = *event.message.mutable_update();
     update.set_voter(true);
@@ -422,10 +425,10 @@
     }
     return event;
   };
-  EntryInstance entry = MakeEntryInstance(ConfigOf(this->world, 110));
+  EntryInstance entry = MakeEntryInstance(MakeInstanceConfig(this->world, 110));
   TimePoint now = this->world.now;
   Reduce(entry, EntryStarted{}, now);
-  PeerMessage first = word(1, 5);
+  PeerMessage first = make_update(1, 5);
   wire::Update& contents = *first.message.mutable_update();
   contents.set_settled(true);
   contents.set_registry_epoch(9);
@@ -433,8 +436,8 @@
   Reduce(entry, first, now);
   CHECK_FALSE(IsReady(entry));
   now += std::chrono::seconds(4);
-  Reduce(entry, word(2, 5), now);
+  Reduce(entry, make_update(2, 5), now);
   CHECK_FALSE(IsReady(entry));
-  Reduce(entry, word(1, 5), now + Milliseconds(100));
+  Reduce(entry, make_update(1, 5), now + Milliseconds(100));
   CHECK(IsReady(entry));
 }
--- a/Tests/Fleet/FleetWorld.h
+++ b/Tests/Fleet/FleetWorld.h
@@ -10,21 +10,22 @@
 #include "Fleet/ControlInstance.h"
 #include "Fleet/EntryInstance.h"
 
-/// Control and entry instances, their disks and the messages between them.
+/// Simulation of a fleet: control and entry instances, their disks, and the
+/// messages between them, in simulated time.
 namespace filbertwall {
 
 struct FleetWorld {
   TimePoint now{std::chrono::hours(1)};
-  FleetConfig config;  ///< What all instances have in common.
+  FleetConfig config;  ///< Settings that all instances share.
   std::map<InstanceAddress, ControlInstance> controls;
   std::map<InstanceAddress, EntryInstance> entries;
   std::map<InstanceAddress, std::vector<wire::DurableRecord>> disks;
   std::map<InstanceAddress, wire::SavedRegistry> saved;
   std::set<InstanceAddress> down;
-  /// Whether a message from the first to the second is lost.
-  std::function<bool(InstanceAddress, InstanceAddress)> cut =
+  /// Whether a message from the first instance to the second is lost.
+  std::function<bool(InstanceAddress, InstanceAddress)> is_lost =
       [](InstanceAddress, InstanceAddress) { return false; };
-  /// Sees each message, also those that are lost.
+  /// Called for each message, including those that are lost.
   std::function<void(InstanceAddress, const SendMessage&)> sent =
       [](InstanceAddress, const SendMessage&) {};
   struct Letter {
@@ -37,10 +38,11 @@
   std::uint64_t next_incarnation = 1000;
 };
 
-inline void Carry(FleetWorld& world, InstanceAddress from,
-                  const SendMessage& effect) {
+/// Queues a message for delivery unless it is lost.
+inline void QueueMessage(FleetWorld& world, InstanceAddress from,
+                         const SendMessage& effect) {
   world.sent(from, effect);
-  if (!world.cut(from, effect.to)) {
+  if (!world.is_lost(from, effect.to)) {
     world.letters.push_back({.from = from, .message = effect});
   }
 }
@@ -50,7 +52,7 @@
   for (const ControlInstanceEffect& effect :
        Reduce(world.controls.at(id), event, world.now)) {
     if (const auto* send = std::get_if<SendMessage>(&effect)) {
-      Carry(world, id, *send);
+      QueueMessage(world, id, *send);
     } else if (const auto* record = std::get_if<PersistRecord>(&effect)) {
       world.disks[id].push_back(record->record);
     } else if (const auto* save = std::get_if<SaveRegistry>(&effect)) {
@@ -66,12 +68,12 @@
   for (const EntryEffect& effect :
        Reduce(world.entries.at(id), event, world.now)) {
     if (const auto* send = std::get_if<SendMessage>(&effect)) {
-      Carry(world, id, *send);
+      QueueMessage(world, id, *send);
     }
   }
 }
 
-inline FleetConfig ConfigOf(FleetWorld& world, InstanceAddress id) {
+inline FleetConfig MakeInstanceConfig(FleetWorld& world, InstanceAddress id) {
   FleetConfig config = world.config;
   config.self = id;
   config.data_centre = "dc" + std::to_string(id % 4);
@@ -81,7 +83,7 @@
 
 inline void StartControl(FleetWorld& world, InstanceAddress id,
                          bool first_start) {
-  const FleetConfig config = ConfigOf(world, id);
+  const FleetConfig config = MakeInstanceConfig(world, id);
   std::vector<wire::DurableRecord>& disk = world.disks[id];
   if (disk.empty()) {
     disk.push_back(FirstRecord(config, first_start));
@@ -92,19 +94,22 @@
 }
 
 inline void StartEntry(FleetWorld& world, InstanceAddress id) {
-  world.entries.insert_or_assign(id, MakeEntryInstance(ConfigOf(world, id)));
+  world.entries.insert_or_assign(
+      id, MakeEntryInstance(MakeInstanceConfig(world, id)));
   world.down.erase(id);
   Apply(world, id, EntryStarted{});
 }
 
+/// Delivers messages until none is left, including those that are added
+/// meanwhile.
 inline void DeliverAll(FleetWorld& world) {
   while (!world.letters.empty()) {
-    std::vector<FleetWorld::Letter> letters;
-    letters.swap(world.letters);
-    for (const FleetWorld::Letter& letter : letters) {
-      const InstanceAddress to = letter.message.to;
-      const PeerMessage message{.from = letter.from,
-                                .message = letter.message.message};
+    std::vector<FleetWorld::Letter> delivered;
+    delivered.swap(world.letters);
+    for (const FleetWorld::Letter& item : delivered) {
+      const InstanceAddress to = item.message.to;
+      const PeerMessage message{.from = item.from,
+                                .message = item.message.message};
       if (world.down.contains(to)) {
         continue;
       }
@@ -117,7 +122,7 @@
   }
 }
 
-/// Lets time pass in small steps.
+/// Advances the time in small steps, and handles due timers and messages.
 inline void Run(FleetWorld& world, Milliseconds time) {
   constexpr Milliseconds kStep{5};
   for (Milliseconds passed{0}; passed < time; passed += kStep) {
@@ -164,11 +169,12 @@
   return call;
 }
 
-/// Submits as an operator does: elsewhere when told to, until accepted.
+/// Submits like an operator: follows redirects and tries the next control
+/// instance until one accepts. Returns false when none has.
 inline bool SubmitUntilAccepted(FleetWorld& world, std::uint64_t version) {
-  constexpr int kTries = 40;
+  constexpr int kMaxAttempts = 40;
   InstanceAddress to = world.controls.begin()->first;
-  for (int i = 0; i < kTries; ++i) {
+  for (int i = 0; i < kMaxAttempts; ++i) {
     if (world.down.contains(to) || !world.controls.contains(to)) {
       to = world.controls.rbegin()->first;
     }
