--- a/Source/Control/Ballot.h
+++ b/Source/Control/Ballot.h
@@ -2,10 +2,11 @@
 
 #include "Wire/wire.pb.h"
 
-/// Order of leadership attempts.
+/// Total order of ballots, the numbers of leader elections.
 namespace filbertwall {
 
-/// Negative, 0 or positive as `left` is lower, equal or higher.
+/// Compares the rounds, then the instances. Returns a negative value, 0 or a
+/// positive value if `left` is lower than, equal to or higher than `right`.
 int CompareBallots(const wire::Ballot& left, const wire::Ballot& right);
 
 }  // namespace filbertwall
--- a/Source/Control/ControlState.cc
+++ b/Source/Control/ControlState.cc
@@ -12,7 +12,7 @@
   record.set_digest(file.digest());
   record.set_submitter(file.submitter());
   if (state.history_size() > kHistoryLimit) {
-    // Trims a tenth at once, so that the cost is spread over many changes.
+    // Trims a tenth of the history at once to amortise the cost of trimming.
     const int trimmed = kHistoryLimit / 10;
     state.mutable_history()->DeleteSubrange(0, trimmed);
     state.set_history_floor(state.history(0).version());
@@ -113,12 +113,12 @@
 
 bool IsMajority(const wire::ControlState& state,
                 const std::set<std::uint32_t>& instances) {
-  const auto held =
+  const auto voters_present =
       std::count_if(state.members().begin(), state.members().end(),
                     [&](const wire::Member& member) {
                       return instances.contains(member.instance());
                     });
-  return 2 * held > state.members_size();
+  return 2 * voters_present > state.members_size();
 }
 
 }  // namespace filbertwall
--- a/Source/Control/ControlState.h
+++ b/Source/Control/ControlState.h
@@ -6,13 +6,13 @@
 
 #include "Wire/wire.pb.h"
 
-/// The state that the control instances agree on, as a pure state machine.
+/// The replicated state of the control instances, as a pure state machine.
 namespace filbertwall {
 
-/// Versions whose digest and submitter stay known after they are superseded.
+/// Upper bound of the version records kept in the history.
 constexpr int kHistoryLimit = 100000;
 
-/// What is already decided about a rules file.
+/// What the committed history says about a submitted rules file.
 struct Ruling {
   enum class Kind { kOpen, kAccepted, kRefused, kForgotten };
   Kind kind = Kind::kOpen;
@@ -22,18 +22,20 @@
 /// Applies a committed entry. Precondition: `entry.seq() == state.seq() + 1`.
 void ApplyEntry(wire::ControlState& state, const wire::Entry& entry);
 
-/// Decides from committed history alone. kOpen: the file may be proposed.
-/// Accepted and refused are final, whichever instance says them.
+/// Looks a rules file up in the committed history only. kOpen: the file may be
+/// proposed. kForgotten: the history no longer covers its version. kAccepted
+/// and kRefused are final, whichever instance returns them.
 Ruling RuleOn(const wire::ControlState& state, const wire::RulesFile& file);
 
+/// Whether `incarnation` of `instance` is a voter in `state`.
 bool IsVoter(const wire::ControlState& state, std::uint32_t instance,
              std::uint64_t incarnation);
 
-/// Whether this incarnation was a voter once and may not come back.
+/// Whether this incarnation is a removed voter, which cannot vote again.
 bool WasRemoved(const wire::ControlState& state, std::uint32_t instance,
                 std::uint64_t incarnation);
 
-/// Whether `instances` hold a majority of the voters.
+/// Whether `instances` include a majority of the voters.
 bool IsMajority(const wire::ControlState& state,
                 const std::set<std::uint32_t>& instances);
 
--- a/Source/Control/Replica.cc
+++ b/Source/Control/Replica.cc
@@ -9,10 +9,12 @@
 namespace filbertwall {
 namespace {
 
-/// Without a leader for this long, a voter asks whether it still is one.
+/// A voter without a leader for this long sends join requests, in case it is no
+/// longer a voter.
 constexpr Milliseconds kLeaderlessLimit{4000};
 
-/// Spreads elections, so that two candidates rarely start together.
+/// Returns a pseudo-random delay, so that two candidates rarely start an
+/// election at the same time.
 Milliseconds ElectionJitter(const Replica& replica) {
   const std::uint64_t hash =
       MixHash(MixHash(replica.config.self, replica.incarnation),
@@ -20,11 +22,13 @@
   return Milliseconds(hash % replica.config.election_spread.count());
 }
 
-/// A frozen process may wake long after its lease; nothing else comes first.
+/// Ends leadership whose lease has expired. This runs before any event is
+/// handled, since a suspended process may resume long after its lease.
 void ExpireLeadership(ReplicaTurn& turn) {
   Replica& replica = turn.replica;
-  const bool settled = turn.now >= replica.elected_at + replica.config.lease;
-  if (replica.role == ReplicaRole::kLeader && settled &&
+  const bool initial_lease_elapsed =
+      turn.now >= replica.elected_at + replica.config.lease;
+  if (replica.role == ReplicaRole::kLeader && initial_lease_elapsed &&
       !HasLease(replica, turn.now)) {
     StepDown(turn);
   }
@@ -33,11 +37,13 @@
 void HandleStarted(ReplicaTurn& turn) {
   Replica& replica = turn.replica;
   replica.leaderless_since = turn.now;
-  // The lease that was granted before a restart is not on disk.
+  // The lease granted before the restart is not on disk, so it is assumed to be
+  // valid for `restart_wait`.
   replica.lease_granted_until = turn.now + replica.config.restart_wait;
   replica.election_at = replica.lease_granted_until + ElectionJitter(replica);
-  const bool alone = IsVoter(replica) && replica.committed.members_size() == 1;
-  if (alone) {
+  const bool only_voter =
+      IsVoter(replica) && replica.committed.members_size() == 1;
+  if (only_voter) {
     StartElection(turn);
   }
 }
@@ -45,21 +51,23 @@
 void HandleTick(ReplicaTurn& turn) {
   Replica& replica = turn.replica;
   if (!IsVoter(replica)) {
-    AskToJoin(turn);
+    RequestJoin(turn);
     return;
   }
   if (replica.role == ReplicaRole::kLeader) {
     if (turn.now >= replica.heartbeat_at) {
       SendHeartbeats(turn);
     }
-    StepMembership(turn);
+    UpdateMembership(turn);
     return;
   }
-  const bool lost = replica.config.open_membership &&
-                    turn.now > replica.leaderless_since + kLeaderlessLimit;
-  if (lost) {
-    // It may have been removed, or know only voters that were replaced.
-    AskToJoin(turn);
+  const bool without_leader =
+      replica.config.open_membership &&
+      turn.now > replica.leaderless_since + kLeaderlessLimit;
+  if (without_leader) {
+    // The replica may have been removed, or know only voters that have been
+    // replaced.
+    RequestJoin(turn);
   }
   if (turn.now >= replica.election_at) {
     StartElection(turn);
@@ -69,15 +77,15 @@
 void HandleReceived(ReplicaTurn& turn, const ControlReceived& event) {
   Replica& replica = turn.replica;
   const wire::ControlMessage& message = event.message;
-  const bool blank = replica.committed.cluster() == 0;
+  const bool has_no_state = replica.committed.cluster() == 0;
   if (replica.role == ReplicaRole::kLeader &&
       IsVoter(replica.committed, event.from, message.incarnation())) {
-    replica.heard[event.from] = turn.now;
+    replica.voter_heard_at[event.from] = turn.now;
   }
   if (message.has_join()) {
-    const bool foreign = message.cluster() != 0 &&
-                         message.cluster() != replica.committed.cluster();
-    if (!blank && !foreign) {
+    const bool other_cluster = message.cluster() != 0 &&
+                               message.cluster() != replica.committed.cluster();
+    if (!has_no_state && !other_cluster) {
       HandleJoin(turn,
                  JoinRequest{.instance = event.from,
                              .incarnation = message.incarnation(),
@@ -86,7 +94,7 @@
     }
     return;
   }
-  if (blank) {
+  if (has_no_state) {
     if (message.has_install()) {
       HandleInstall(turn, event.from, message.install());
     }
@@ -161,7 +169,7 @@
     replica.incarnation = record.incarnation();
   }
   if (record.has_promised()) {
-    replica.promised = record.promised();
+    replica.promised_ballot = record.promised();
   }
   if (record.has_state()) {
     replica.committed = record.state();
@@ -177,13 +185,13 @@
     replica.tip = record.tip();
   }
   replica.highest_round_seen =
-      std::max(replica.highest_round_seen, replica.promised.round());
+      std::max(replica.highest_round_seen, replica.promised_ballot.round());
 }
 
 wire::DurableRecord FullRecord(const Replica& replica) {
   wire::DurableRecord record;
   record.set_incarnation(replica.incarnation);
-  *record.mutable_promised() = replica.promised;
+  *record.mutable_promised() = replica.promised_ballot;
   *record.mutable_state() = replica.committed;
   if (replica.tip) {
     *record.mutable_tip() = *replica.tip;
@@ -195,14 +203,15 @@
   if (replica.role != ReplicaRole::kLeader) {
     return false;
   }
-  // Clocks of two instances may run at rates that differ by this share.
+  // Allows the clock rates of two instances to differ by a tenth.
   const Milliseconds drift_margin = replica.config.lease / 10;
-  const TimePoint oldest = now - replica.config.lease + drift_margin;
+  const TimePoint oldest_valid_ack = now - replica.config.lease + drift_margin;
   std::set<std::uint32_t> confirmed;
   for (const wire::Member& member : replica.committed.members()) {
-    const auto ack = replica.acked.find(member.instance());
+    const auto ack = replica.last_acked_send.find(member.instance());
     const bool own = member.instance() == replica.config.self;
-    if (own || (ack != replica.acked.end() && ack->second > oldest)) {
+    if (own || (ack != replica.last_acked_send.end() &&
+                ack->second > oldest_valid_ack)) {
       confirmed.insert(member.instance());
     }
   }
@@ -218,7 +227,7 @@
     return HasLease(replica, now);
   }
   return replica.leader != 0 && now - replica.leader_heard_at <= limit &&
-         replica.committed.seq() >= replica.leader_committed;
+         replica.committed.seq() >= replica.leader_committed_seq;
 }
 
 wire::DurableRecord FoundingRecord(std::uint32_t instance,
@@ -264,7 +273,7 @@
 
 void StepDown(ReplicaTurn& turn) {
   Replica& replica = turn.replica;
-  const auto give_up = [&](std::uint64_t token) {
+  const auto reply_unknown = [&](std::uint64_t token) {
     if (token != 0) {
       turn.effects.emplace_back(ControlVerdict{
           .token = token,
@@ -273,10 +282,10 @@
     }
   };
   if (replica.proposing) {
-    give_up(replica.proposal_token);
+    reply_unknown(replica.proposal_token);
   }
   for (const PendingChange& pending : replica.queue) {
-    give_up(pending.token);
+    reply_unknown(pending.token);
   }
   replica.queue.clear();
   replica.proposing = false;
@@ -285,8 +294,8 @@
   replica.leader = 0;
   replica.leaderless_since = turn.now;
   replica.promises.clear();
-  replica.acked.clear();
-  replica.heard.clear();
+  replica.last_acked_send.clear();
+  replica.voter_heard_at.clear();
   replica.standbys.clear();
   replica.election_at =
       turn.now + replica.config.lease + ElectionJitter(replica);
--- a/Source/Control/Replica.h
+++ b/Source/Control/Replica.h
@@ -13,40 +13,41 @@
 #include "Control/ControlState.h"
 #include "Wire/wire.pb.h"
 
-/// One control instance's part in the replication of the control state.
+/// Consensus replica of the control state at one control instance.
 ///
-/// A reducer without clock, socket, disk or random source. At most one entry
-/// is undecided at any time; see docs/design/0002-control.md.
+/// The reducer uses no clock, socket, disk or random source. At most one entry
+/// is uncommitted at any time; see docs/design/0002-control.md.
 namespace filbertwall {
 
-/// Settings of a replica; the same at every control instance.
+/// Settings of a replica. All but `self` are equal at all control instances.
 struct ReplicaConfig {
   std::uint32_t self = 0;
-  std::set<std::uint32_t> control_instances;  ///< May become voters.
-  /// Any instance that asks may become a voter, and silent ones give their
-  /// place to another; see `VoterChange.h`.
+  std::set<std::uint32_t> control_instances;  ///< Instances that may vote.
+  /// Any instance that sends a join request may become a voter, and the leader
+  /// replaces silent voters; see `VoterChange.h`.
   bool open_membership = false;
-  std::uint32_t least_voters = 3;  ///< Never fewer, once there were as many.
+  std::uint32_t least_voters = 3;  ///< Lower bound once reached.
   Milliseconds heartbeat_interval{100};
   Milliseconds lease{1000};
   Milliseconds join_interval{300};
-  /// After a start no vote is given for this long, so that a living leader is
-  /// heard first. Less than the lease: a leader that is cut off may then still
-  /// claim to lead, for what is left of its lease, beside a new one.
+  /// After a start the replica grants no vote for this long, so that it first
+  /// hears from an existing leader. If this is shorter than the lease, a
+  /// partitioned leader may hold its lease beside a new leader until it
+  /// expires.
   Milliseconds restart_wait{1000};
-  /// Elections of several replicas are spread over this time.
+  /// Upper bound of the delay that staggers the elections of the replicas.
   Milliseconds election_spread{1000};
 };
 
 enum class ReplicaRole { kFollower, kCandidate, kLeader };
 
-/// A proposal that waits for its turn or for its majority.
+/// A change to propose, with the token of its submission.
 struct PendingChange {
-  std::uint64_t token = 0;  ///< 0: nobody waits for a verdict.
+  std::uint64_t token = 0;  ///< 0: no verdict is returned.
   wire::Change change;
 };
 
-/// An instance that holds the state and does not vote, as its leader sees it.
+/// The leader's record of a non-voting instance that holds the state.
 struct Standby {
   std::uint64_t incarnation = 0;
   std::uint64_t committed_seq = 0;
@@ -56,29 +57,30 @@
 struct Replica {
   ReplicaConfig config;
 
-  // Durable: rebuilt from the control log.
+  // Durable state, restored from the control log.
   std::uint64_t incarnation = 0;
-  wire::Ballot promised;
+  wire::Ballot promised_ballot;  ///< No lower ballot is followed.
   wire::ControlState committed;
-  std::optional<wire::Entry> tip;
+  std::optional<wire::Entry> tip;  ///< The uncommitted entry, if any.
 
-  // Volatile.
+  // Volatile state.
   ReplicaRole role = ReplicaRole::kFollower;
   wire::Ballot ballot;
   std::uint64_t highest_round_seen = 0;
   std::map<std::uint32_t, wire::Promise> promises;
-  std::set<std::uint32_t> accepted;
+  std::set<std::uint32_t> accepted_by;  ///< Voters that stored the tip.
   bool proposing = false;
   std::uint64_t proposal_token = 0;
   std::deque<PendingChange> queue;
-  std::map<std::uint32_t, TimePoint> acked;  ///< Send time of the last acked.
-  /// When the leader last heard each voter; kept while it leads.
-  std::map<std::uint32_t, TimePoint> heard;
-  std::map<std::uint32_t, Standby> standbys;  ///< By instance, at the leader.
+  /// Send time of the latest heartbeat that each voter acknowledged.
+  std::map<std::uint32_t, TimePoint> last_acked_send;
+  /// When the leader last received a message of each voter.
+  std::map<std::uint32_t, TimePoint> voter_heard_at;
+  std::map<std::uint32_t, Standby> standbys;  ///< Leader only.
   TimePoint elected_at;
   TimePoint lease_granted_until;
-  TimePoint leader_heard_at;           ///< Last heartbeat of the leader.
-  std::uint64_t leader_committed = 0;  ///< The highest seq that it named.
+  TimePoint leader_heard_at;               ///< Last heartbeat of the leader.
+  std::uint64_t leader_committed_seq = 0;  ///< Highest one in a heartbeat.
   TimePoint leaderless_since;
   TimePoint election_at;
   TimePoint heartbeat_at;
@@ -92,7 +94,7 @@
   std::uint32_t from = 0;
   wire::ControlMessage message;
 };
-/// Asks for a change. `token` comes back in the verdict.
+/// Submits a change. The verdict carries the same `token`.
 struct ControlSubmitted {
   std::uint64_t token = 0;
   wire::Change change;
@@ -104,11 +106,12 @@
   std::uint32_t to = 0;
   wire::ControlMessage message;
 };
-/// Must be synced before any later effect of the same list is carried out.
+/// The record must be synced to disk before any later effect of the same list
+/// is executed.
 struct ControlPersist {
   wire::DurableRecord record;
 };
-/// The committed state has advanced.
+/// Tells that the committed state has changed.
 struct ControlAdvanced {};
 struct ControlVerdict {
   std::uint64_t token = 0;
@@ -118,31 +121,35 @@
 using ControlEffect =
     std::variant<ControlSend, ControlPersist, ControlAdvanced, ControlVerdict>;
 
-/// Applies one event. Precondition: `now` never goes back.
+/// Applies one event and returns its effects in order. Precondition: `now` does
+/// not decrease between calls.
 std::vector<ControlEffect> Reduce(Replica& replica, const ControlEvent& event,
                                   TimePoint now);
 
-/// Applies one record of the control log, in the order of writing.
+/// Applies one record of the control log. Records are applied in write order.
 void Restore(Replica& replica, const wire::DurableRecord& record);
 
-/// The record that alone restores the replica's durable state.
+/// Returns one record that restores the complete durable state.
 wire::DurableRecord FullRecord(const Replica& replica);
 
-/// Whether a majority has confirmed this leader within the lease.
+/// Whether this replica is the leader and a majority of the voters has
+/// acknowledged it within the lease.
 bool HasLease(const Replica& replica, TimePoint now);
 
 bool IsVoter(const Replica& replica);
 
-/// Whether the committed state was confirmed as the newest one within `limit`,
-/// by a majority (leader) or by a leader (voter or standby).
+/// Whether the committed state was confirmed as the newest one: at a leader by
+/// its lease, at other replicas by a leader's heartbeat within `limit` and
+/// without a newer entry known.
 bool KnowsNewest(const Replica& replica, TimePoint now, Milliseconds limit);
 
-/// The first state of a new cluster whose founders all write the same one. Each
-/// founder calls it with the same list, before anything was promised.
+/// Returns the initial record of a founder of a new cluster. All founders get
+/// the same state if they pass the same list. Precondition: the replica has
+/// promised no ballot yet.
 wire::DurableRecord FoundingRecord(std::uint32_t instance,
                                    const std::set<std::uint32_t>& founders);
 
-/// The first state of a new cluster, with this instance as its only voter.
+/// Returns the initial record of a new cluster whose only voter is `instance`.
 wire::DurableRecord FormatRecord(std::uint32_t instance,
                                  std::uint64_t incarnation,
                                  std::uint64_t cluster);
--- a/Source/Control/ReplicaElection.cc
+++ b/Source/Control/ReplicaElection.cc
@@ -3,12 +3,13 @@
 #include "Control/Ballot.h"
 #include "Control/ReplicaTurn.h"
 
-/// Elections: how a replica becomes the leader, and what it promises others.
+/// Leader elections: candidacy, promises and the start of leadership.
 namespace filbertwall {
 namespace {
 
-/// The undecided entry of the highest ballot among the promises, if any.
-std::optional<wire::Entry> HighestTip(const Replica& replica) {
+/// Returns the uncommitted entry of the highest ballot among the promises and
+/// this replica's tip, if any.
+std::optional<wire::Entry> HighestUndecidedEntry(const Replica& replica) {
   std::optional<wire::Entry> highest = replica.tip;
   for (const auto& [instance, promise] : replica.promises) {
     const bool next =
@@ -29,16 +30,18 @@
   replica.role = ReplicaRole::kLeader;
   replica.leader = replica.config.self;
   replica.elected_at = turn.now;
-  replica.acked.clear();
+  replica.last_acked_send.clear();
   for (const wire::Member& member : replica.committed.members()) {
-    // Not heard yet as a leader, so not silent for long either.
-    replica.heard.try_emplace(member.instance(), turn.now);
+    // Silence counts from the start of leadership, since a new leader has not
+    // received messages of all voters yet.
+    replica.voter_heard_at.try_emplace(member.instance(), turn.now);
   }
-  const std::optional<wire::Entry> undecided = HighestTip(replica);
+  const std::optional<wire::Entry> undecided = HighestUndecidedEntry(replica);
   replica.promises.clear();
   SendHeartbeats(turn);
   if (undecided) {
-    // It may already be accepted by a majority; nothing else can take its seq.
+    // A majority may have stored the entry already, so no other entry may take
+    // its sequence number.
     Propose(turn, PendingChange{.change = undecided->change()});
     return;
   }
@@ -56,9 +59,10 @@
   }
 }
 
-/// Whether a promise may be given; a refusal that names a higher ballot is
-/// answered, one for the sake of another's lease is not.
-bool MayPromise(const Replica& replica, TimePoint now, std::uint32_t from) {
+/// Whether no lease of another leader or of this one forbids a promise. A
+/// prepare message during a lease gets no reply, unlike one with a ballot lower
+/// than the promised one.
+bool CanPromise(const Replica& replica, TimePoint now, std::uint32_t from) {
   const bool lease_of_another =
       now < replica.lease_granted_until && replica.leader != from;
   const bool own_lease =
@@ -73,12 +77,13 @@
   const bool ballot_still_highest =
       replica.role == ReplicaRole::kCandidate &&
       replica.ballot.round() >= replica.highest_round_seen &&
-      CompareBallots(replica.ballot, replica.promised) == 0;
+      CompareBallots(replica.ballot, replica.promised_ballot) == 0;
   if (!ballot_still_highest) {
-    // A candidate that nobody hears keeps its ballot, so that a long cut does
-    // not raise the round without end.
+    // A candidate without any reply keeps its ballot, so that a long network
+    // partition does not keep raising the round.
     replica.highest_round_seen =
-        std::max(replica.highest_round_seen, replica.promised.round()) + 1;
+        std::max(replica.highest_round_seen, replica.promised_ballot.round()) +
+        1;
     replica.ballot.set_round(replica.highest_round_seen);
     replica.ballot.set_instance(replica.config.self);
     PersistPromise(turn, replica.ballot);
@@ -101,21 +106,23 @@
 void HandlePrepare(ReplicaTurn& turn, std::uint32_t from,
                    const wire::Prepare& prepare, bool from_voter) {
   Replica& replica = turn.replica;
-  const bool knows_better = prepare.committed_seq() > replica.committed.seq();
-  if (!IsVoter(replica) && knows_better) {
-    // It may have become a voter; the candidate needs its promise.
+  const bool candidate_is_ahead =
+      prepare.committed_seq() > replica.committed.seq();
+  if (!IsVoter(replica) && candidate_is_ahead) {
+    // This replica may have become a voter, whose promise the candidate needs;
+    // the join request makes the candidate send the newer state.
     SendJoin(turn, from);
   }
-  if (!IsVoter(replica) || (!from_voter && !knows_better) ||
-      !MayPromise(replica, turn.now, from)) {
+  if (!IsVoter(replica) || (!from_voter && !candidate_is_ahead) ||
+      !CanPromise(replica, turn.now, from)) {
     return;
   }
   wire::ControlMessage message;
   wire::Promise& promise = *message.mutable_promise();
   *promise.mutable_ballot() = prepare.ballot();
-  const int order = CompareBallots(prepare.ballot(), replica.promised);
+  const int order = CompareBallots(prepare.ballot(), replica.promised_ballot);
   if (order < 0) {
-    *promise.mutable_promised() = replica.promised;
+    *promise.mutable_promised() = replica.promised_ballot;
     Send(turn, from, std::move(message));
     return;
   }
@@ -125,7 +132,7 @@
     }
     PersistPromise(turn, prepare.ballot());
   }
-  // The candidate gets time to win before this replica competes with it.
+  // Gives the candidate time to win before this replica starts an election.
   replica.election_at =
       std::max(replica.election_at, turn.now + replica.config.lease / 2);
   promise.set_granted(true);
@@ -143,17 +150,17 @@
   Replica& replica = turn.replica;
   replica.highest_round_seen =
       std::max(replica.highest_round_seen, promise.promised().round());
-  const bool current = replica.role == ReplicaRole::kCandidate &&
-                       CompareBallots(promise.ballot(), replica.ballot) == 0;
-  if (!current) {
+  const bool is_current = replica.role == ReplicaRole::kCandidate &&
+                          CompareBallots(promise.ballot(), replica.ballot) == 0;
+  if (!is_current) {
     return;
   }
   if (!promise.granted()) {
-    return;  // The next attempt takes a higher round.
+    return;  // The next election uses a higher round.
   }
   if (promise.state().seq() > replica.committed.seq()) {
-    // The voters may have changed, so the promises so far count for nothing.
-    AdoptState(turn, promise.state());
+    // The voters may have changed, which invalidates the promises so far.
+    InstallState(turn, promise.state());
     if (IsVoter(replica)) {
       replica.highest_round_seen += 1;
       StartElection(turn);
--- a/Source/Control/ReplicaMembers.cc
+++ b/Source/Control/ReplicaMembers.cc
@@ -3,36 +3,37 @@
 #include "Control/ReplicaTurn.h"
 #include "Control/VoterChange.h"
 
-/// Membership: which instances vote, and which stand by.
+/// Membership: the voters and the standbys.
 namespace filbertwall {
 namespace {
 
-/// A standby that was not heard for this long is not sent anything.
-constexpr Milliseconds kStandbyLifetime{1000};
-/// Without a leader's heartbeat for this long, all are asked.
-constexpr Milliseconds kLeaderSilence{500};
+/// The leader drops a standby after this time without a message from it.
+constexpr Milliseconds kStandbyTimeout{1000};
+/// After this time without a heartbeat of the leader, join requests go to all
+/// known instances.
+constexpr Milliseconds kLeaderTimeout{500};
 
-VoterSituation SituationOf(const ReplicaTurn& turn) {
+MembershipStatus MembershipStatusOf(const ReplicaTurn& turn) {
   const Replica& replica = turn.replica;
-  VoterSituation situation{.living_standbys = replica.standbys.size(),
-                           .least_voters = replica.config.least_voters};
+  MembershipStatus membership{.reachable_standbys = replica.standbys.size(),
+                              .least_voters = replica.config.least_voters};
   for (const wire::Member& member : replica.committed.members()) {
-    const auto heard = replica.heard.find(member.instance());
-    const bool known = heard != replica.heard.end();
-    situation.voters.push_back(
+    const auto heard = replica.voter_heard_at.find(member.instance());
+    const bool known = heard != replica.voter_heard_at.end();
+    membership.voters.push_back(
         VoterStatus{.instance = member.instance(),
                     .silence = known ? std::chrono::duration_cast<Milliseconds>(
                                            turn.now - heard->second)
                                      : Milliseconds(0),
-                    .leads = member.instance() == replica.config.self});
+                    .is_leader = member.instance() == replica.config.self});
   }
   for (const auto& [instance, standby] : replica.standbys) {
     if (standby.committed_seq >= replica.committed.seq()) {
-      situation.standbys.push_back(StandbyStatus{
+      membership.standbys.push_back(StandbyStatus{
           .instance = instance, .incarnation = standby.incarnation});
     }
   }
-  return situation;
+  return membership;
 }
 
 void ProposeMemberChange(ReplicaTurn& turn, const wire::MemberChange& change) {
@@ -41,7 +42,7 @@
   Propose(turn, pending);
 }
 
-void NoteStandby(ReplicaTurn& turn, const JoinRequest& request) {
+void RecordStandby(ReplicaTurn& turn, const JoinRequest& request) {
   turn.replica.standbys[request.instance] =
       Standby{.incarnation = request.incarnation,
               .committed_seq = request.committed_seq,
@@ -56,38 +57,38 @@
   Send(turn, to, std::move(message));
 }
 
-void AskToJoin(ReplicaTurn& turn) {
+void RequestJoin(ReplicaTurn& turn) {
   Replica& replica = turn.replica;
   if (turn.now < replica.join_at) {
     return;
   }
   replica.join_at = turn.now + replica.config.join_interval;
   const bool follows = replica.leader != 0 &&
-                       turn.now - replica.leader_heard_at <= kLeaderSilence;
+                       turn.now - replica.leader_heard_at <= kLeaderTimeout;
   if (follows) {
     SendJoin(turn, replica.leader);
     return;
   }
-  std::set<std::uint32_t> asked = replica.config.control_instances;
+  std::set<std::uint32_t> recipients = replica.config.control_instances;
   for (const wire::Member& member : replica.committed.members()) {
-    asked.insert(member.instance());
+    recipients.insert(member.instance());
   }
-  asked.erase(replica.config.self);
-  for (const std::uint32_t instance : asked) {
+  recipients.erase(replica.config.self);
+  for (const std::uint32_t instance : recipients) {
     SendJoin(turn, instance);
   }
 }
 
-void StepMembership(ReplicaTurn& turn) {
+void UpdateMembership(ReplicaTurn& turn) {
   Replica& replica = turn.replica;
   std::erase_if(replica.standbys, [&](const auto& item) {
-    return turn.now - item.second.heard_at > kStandbyLifetime;
+    return turn.now - item.second.heard_at > kStandbyTimeout;
   });
   if (!replica.config.open_membership || replica.proposing ||
       !HasLease(replica, turn.now)) {
     return;
   }
-  if (const auto change = PlanVoterChange(SituationOf(turn))) {
+  if (const auto change = PlanVoterChange(MembershipStatusOf(turn))) {
     ProposeMemberChange(turn, *change);
   }
 }
@@ -114,7 +115,7 @@
   }
   if (WasRemoved(replica.committed, request.instance, request.incarnation)) {
     if (replica.config.open_membership) {
-      SendInstall(turn, request.instance);  // It takes a new incarnation.
+      SendInstall(turn, request.instance);  // Renews its incarnation.
     }
     return;
   }
@@ -124,13 +125,13 @@
   if (!allowed) {
     return;
   }
-  const bool already =
+  const bool already_voter =
       IsVoter(replica.committed, request.instance, request.incarnation);
   const bool caught_up =
       request.has_state && request.committed_seq >= replica.committed.seq();
-  if (already || !caught_up) {
-    // Also as a candidate: a voter that does not know that it is one can't
-    // promise anything.
+  if (already_voter || !caught_up) {
+    // A candidate sends the state too, since a voter that does not know that it
+    // is a voter cannot promise anything.
     SendInstall(turn, request.instance);
     return;
   }
@@ -138,8 +139,8 @@
     return;
   }
   if (replica.config.open_membership) {
-    NoteStandby(turn, request);
-    StepMembership(turn);
+    RecordStandby(turn, request);
+    UpdateMembership(turn);
     return;
   }
   if (!replica.proposing && HasLease(replica, turn.now)) {
--- a/Source/Control/ReplicaProposal.cc
+++ b/Source/Control/ReplicaProposal.cc
@@ -3,13 +3,14 @@
 #include "Control/Ballot.h"
 #include "Control/ReplicaTurn.h"
 
-/// Proposals: from a submitted change to one that a majority has stored.
+/// Proposals: submission, storage by a majority of the voters and commit.
 namespace filbertwall {
 namespace {
 
 void CommitOnMajority(ReplicaTurn& turn) {
   Replica& replica = turn.replica;
-  if (!replica.proposing || !IsMajority(replica.committed, replica.accepted)) {
+  if (!replica.proposing ||
+      !IsMajority(replica.committed, replica.accepted_by)) {
     return;
   }
   const bool member_change = replica.tip->change().has_member();
@@ -30,9 +31,10 @@
     ProposeNext(turn);
     return;
   }
-  // Every voter must know the new set before its promises are asked for.
+  // Every voter must know the new set of voters before it gets a prepare
+  // message.
   replica.standbys.erase(changed);
-  replica.heard.erase(changed);
+  replica.voter_heard_at.erase(changed);
   SendHeartbeats(turn);
   SendInstall(turn, changed);
   if (replaced != 0) {
@@ -52,10 +54,12 @@
   Send(turn, to, std::move(message));
 }
 
-/// Takes part in `ballot`'s leadership; false when a higher one is promised.
-bool Obey(ReplicaTurn& turn, std::uint32_t from, const wire::Ballot& ballot) {
+/// Promises `ballot` and follows its leader. Returns false if a higher ballot
+/// is promised already.
+bool FollowBallot(ReplicaTurn& turn, std::uint32_t from,
+                  const wire::Ballot& ballot) {
   Replica& replica = turn.replica;
-  const int order = CompareBallots(ballot, replica.promised);
+  const int order = CompareBallots(ballot, replica.promised_ballot);
   if (order < 0) {
     return false;
   }
@@ -72,15 +76,18 @@
                   const wire::Accept& accept, bool stored) {
   wire::ControlMessage message;
   wire::Accepted& accepted = *message.mutable_accepted();
-  *accepted.mutable_ballot() = stored ? accept.ballot() : turn.replica.promised;
+  *accepted.mutable_ballot() =
+      stored ? accept.ballot() : turn.replica.promised_ballot;
   accepted.set_seq(accept.entry().seq());
   accepted.set_stored(stored);
   accepted.set_committed_seq(turn.replica.committed.seq());
   Send(turn, to, std::move(message));
 }
 
-/// A voter that promised a higher ballot can't follow; leads anew above it.
-bool LeadAboveHigherBallot(ReplicaTurn& turn, const wire::Ballot& ballot) {
+/// Starts an election above `ballot` if it is higher than this leader's, since
+/// the voter that promised it cannot follow this leader. Returns whether it
+/// did.
+bool RestartElectionAbove(ReplicaTurn& turn, const wire::Ballot& ballot) {
   Replica& replica = turn.replica;
   if (CompareBallots(ballot, replica.ballot) <= 0) {
     return false;
@@ -106,7 +113,7 @@
     replica.proposal_token = pending.token;
   }
   PersistTip(turn);
-  replica.accepted = {replica.config.self};
+  replica.accepted_by = {replica.config.self};
   for (const wire::Member& member : replica.committed.members()) {
     if (member.instance() != replica.config.self) {
       SendAccept(turn, member.instance());
@@ -133,16 +140,16 @@
         .token = event.token, .verdict = verdict, .reason = reason});
   };
   if (event.change.has_rules()) {
-    const Ruling ruling = RuleOn(replica.committed, event.change.rules());
-    switch (ruling.kind) {
+    const Ruling decision = RuleOn(replica.committed, event.change.rules());
+    switch (decision.kind) {
       case Ruling::Kind::kAccepted:
-        answer(wire::ACCEPTED, ruling.reason);
+        answer(wire::ACCEPTED, decision.reason);
         return;
       case Ruling::Kind::kRefused:
-        answer(wire::REFUSED, ruling.reason);
+        answer(wire::REFUSED, decision.reason);
         return;
       case Ruling::Kind::kForgotten:
-        answer(wire::UNKNOWN, ruling.reason);
+        answer(wire::UNKNOWN, decision.reason);
         return;
       case Ruling::Kind::kOpen:
         break;
@@ -155,8 +162,8 @@
   }
   const PendingChange pending{.token = event.token, .change = event.change};
   if (replica.proposing) {
-    constexpr std::size_t kLongestQueue = 64;
-    if (replica.queue.size() >= kLongestQueue) {
+    constexpr std::size_t kMaxQueuedChanges = 64;
+    if (replica.queue.size() >= kMaxQueuedChanges) {
       answer(wire::UNKNOWN, "too many changes wait for their turn");
       return;
     }
@@ -169,7 +176,7 @@
 void HandleAccept(ReplicaTurn& turn, std::uint32_t from,
                   const wire::Accept& accept) {
   Replica& replica = turn.replica;
-  if (!IsVoter(replica) || !Obey(turn, from, accept.ballot())) {
+  if (!IsVoter(replica) || !FollowBallot(turn, from, accept.ballot())) {
     SendAccepted(turn, from, accept, false);
     return;
   }
@@ -178,7 +185,8 @@
       replica.tip && replica.tip->seq() + 1 == seq &&
       CompareBallots(replica.tip->ballot(), accept.ballot()) == 0;
   if (follows_tip) {
-    // The leader proposes one entry at a time, so the tip is committed.
+    // The leader proposes one entry at a time, so the next one shows that the
+    // tip is committed.
     CommitTip(turn);
   }
   if (seq == replica.committed.seq() + 1) {
@@ -194,17 +202,17 @@
                     const wire::Accepted& accepted) {
   Replica& replica = turn.replica;
   if (replica.role != ReplicaRole::kLeader ||
-      LeadAboveHigherBallot(turn, accepted.ballot())) {
+      RestartElectionAbove(turn, accepted.ballot())) {
     return;
   }
-  const bool current =
+  const bool is_current =
       replica.proposing && accepted.seq() == replica.tip->seq();
-  if (!current) {
+  if (!is_current) {
     return;
   }
   if (accepted.stored()) {
     if (CompareBallots(accepted.ballot(), replica.ballot) == 0) {
-      replica.accepted.insert(from);
+      replica.accepted_by.insert(from);
       CommitOnMajority(turn);
     }
     return;
@@ -220,8 +228,8 @@
   Replica& replica = turn.replica;
   wire::ControlMessage message;
   wire::HeartbeatAck& ack = *message.mutable_heartbeat_ack();
-  if (!Obey(turn, from, heartbeat.ballot())) {
-    *ack.mutable_ballot() = replica.promised;
+  if (!FollowBallot(turn, from, heartbeat.ballot())) {
+    *ack.mutable_ballot() = replica.promised_ballot;
     Send(turn, from, std::move(message));
     return;
   }
@@ -232,8 +240,8 @@
     CommitTip(turn);
   }
   replica.leader_heard_at = turn.now;
-  replica.leader_committed =
-      std::max(replica.leader_committed, heartbeat.committed_seq());
+  replica.leader_committed_seq =
+      std::max(replica.leader_committed_seq, heartbeat.committed_seq());
   *ack.mutable_ballot() = heartbeat.ballot();
   ack.set_committed_seq(replica.committed.seq());
   ack.set_echoed_us(heartbeat.sent_us());
@@ -244,18 +252,18 @@
                         const wire::HeartbeatAck& ack) {
   Replica& replica = turn.replica;
   if (replica.role != ReplicaRole::kLeader ||
-      LeadAboveHigherBallot(turn, ack.ballot()) ||
+      RestartElectionAbove(turn, ack.ballot()) ||
       CompareBallots(ack.ballot(), replica.ballot) != 0) {
     return;
   }
   const TimePoint sent{Microseconds(ack.echoed_us())};
-  TimePoint& latest = replica.acked[from];
+  TimePoint& latest = replica.last_acked_send[from];
   latest = std::max(latest, std::min(sent, turn.now));
   if (ack.committed_seq() < replica.committed.seq()) {
     SendInstall(turn, from);
   }
   const bool accept_missing =
-      replica.proposing && !replica.accepted.contains(from);
+      replica.proposing && !replica.accepted_by.contains(from);
   if (accept_missing) {
     SendAccept(turn, from);
   }
@@ -264,17 +272,17 @@
 void HandleInstall(ReplicaTurn& turn, std::uint32_t from,
                    const wire::Install& install) {
   Replica& replica = turn.replica;
-  // One that was removed may have promised ballots that the others never heard
-  // of; what is committed holds all the same.
+  // A removed replica may have promised ballots that the others do not know. It
+  // still installs the state, since committed entries hold under every ballot.
   const bool removed =
       replica.config.open_membership &&
       WasRemoved(install.state(), replica.config.self, replica.incarnation);
-  if (!Obey(turn, from, install.ballot()) && !removed) {
+  if (!FollowBallot(turn, from, install.ballot()) && !removed) {
     return;
   }
   if (install.state().seq() > replica.committed.seq() ||
       replica.committed.cluster() == 0) {
-    AdoptState(turn, install.state());
+    InstallState(turn, install.state());
   }
 }
 
--- a/Source/Control/ReplicaTurn.cc
+++ b/Source/Control/ReplicaTurn.cc
@@ -45,7 +45,7 @@
 }
 
 void PersistPromise(ReplicaTurn& turn, const wire::Ballot& ballot) {
-  turn.replica.promised = ballot;
+  turn.replica.promised_ballot = ballot;
   wire::DurableRecord record;
   *record.mutable_promised() = ballot;
   turn.effects.emplace_back(ControlPersist{.record = std::move(record)});
@@ -67,16 +67,17 @@
   turn.effects.emplace_back(ControlAdvanced{});
 }
 
-void AdoptState(ReplicaTurn& turn, const wire::ControlState& state) {
+void InstallState(ReplicaTurn& turn, const wire::ControlState& state) {
   Replica& replica = turn.replica;
   replica.committed = state;
   const bool removed =
       replica.config.open_membership &&
       WasRemoved(state, replica.config.self, replica.incarnation);
   if (removed) {
-    // Like a lost disk: what it promised counts for nothing from now on.
+    // As after the loss of a disk, the promises of the old incarnation are
+    // void.
     replica.incarnation = MixHash(replica.incarnation, state.seq()) | 1U;
-    replica.promised.Clear();
+    replica.promised_ballot.Clear();
   }
   if (replica.tip && replica.tip->seq() <= state.seq()) {
     replica.tip.reset();
--- a/Source/Control/ReplicaTurn.h
+++ b/Source/Control/ReplicaTurn.h
@@ -4,43 +4,47 @@
 
 #include "Control/Replica.h"
 
-/// Internal to Control: the steps that its reducers share.
+/// Internal to Control: the reducer's context and its steps.
 namespace filbertwall {
 
-/// One run of the reducer.
+/// Context of one call of `Reduce`.
 struct ReplicaTurn {
   Replica& replica;
   TimePoint now;
   std::vector<ControlEffect>& effects;
 };
 
-/// A replica that asks to become a voter.
+/// A request of a replica to become a voter or standby.
 struct JoinRequest {
   std::uint32_t instance = 0;
   std::uint64_t incarnation = 0;
-  bool has_state = false;  ///< False for an empty disk.
+  bool has_state = false;  ///< False if its disk is empty.
   std::uint64_t committed_seq = 0;
 };
 
 void Send(ReplicaTurn& turn, std::uint32_t to, wire::ControlMessage message);
-/// Sends to every other voter.
+/// Sends a message to every other voter.
 void SendToVoters(ReplicaTurn& turn, const wire::ControlMessage& message);
+/// Sends the complete committed state.
 void SendInstall(ReplicaTurn& turn, std::uint32_t to);
 void SendHeartbeats(ReplicaTurn& turn);
 
 void PersistPromise(ReplicaTurn& turn, const wire::Ballot& ballot);
 void PersistTip(ReplicaTurn& turn);
 
-/// Gives up leadership or candidacy; waiting proposals get "unknown".
+/// Becomes a follower without a leader. Changes that wait get the verdict
+/// "unknown".
 void StepDown(ReplicaTurn& turn);
 void StartElection(ReplicaTurn& turn);
 
-/// Notes a sign of life of the leader; grants it the lease.
+/// Becomes a follower of `leader` and renews the lease granted to it.
 void FollowLeader(ReplicaTurn& turn, std::uint32_t leader);
 
-/// Makes the tip part of the committed state.
+/// Applies the tip to the committed state. Precondition: there is a tip.
 void CommitTip(ReplicaTurn& turn);
-void AdoptState(ReplicaTurn& turn, const wire::ControlState& state);
+/// Replaces the committed state. A replica that the state names as removed
+/// takes a new incarnation.
+void InstallState(ReplicaTurn& turn, const wire::ControlState& state);
 
 void HandlePrepare(ReplicaTurn& turn, std::uint32_t from,
                    const wire::Prepare& prepare, bool from_voter);
@@ -62,11 +66,14 @@
                    const wire::Install& install);
 void HandleJoin(ReplicaTurn& turn, const JoinRequest& request);
 
-/// Asks one instance, or all that are known, to be admitted.
+/// Sends a join request to one instance.
 void SendJoin(ReplicaTurn& turn, std::uint32_t to);
-void AskToJoin(ReplicaTurn& turn);
-/// The leader's part in keeping the right voters.
-void StepMembership(ReplicaTurn& turn);
+/// Sends join requests at the configured interval: to the leader if it is
+/// known, else to all known instances.
+void RequestJoin(ReplicaTurn& turn);
+/// Drops standbys that timed out and proposes the next change to the voters.
+/// Leader only.
+void UpdateMembership(ReplicaTurn& turn);
 void HandleStandbyAck(ReplicaTurn& turn, std::uint32_t from,
                       const wire::HeartbeatAck& ack);
 
--- a/Source/Control/VoterChange.cc
+++ b/Source/Control/VoterChange.cc
@@ -5,24 +5,25 @@
 namespace filbertwall {
 namespace {
 
-/// A restart takes less; a voter that is silent for longer gives its place to a
-/// standby.
+/// A standby replaces a voter that is silent for longer than this. A restart
+/// takes less time.
 constexpr Milliseconds kReplaceAfter{3000};
-/// Without a standby a silent voter beyond the least number stays longer, since
-/// removing it admits nobody.
+/// Without a standby, a silent voter above the minimum is removed after this
+/// time. The limit is longer, since the removal admits no other voter.
 constexpr Milliseconds kRemoveAfter{5000};
-/// More voters make each commit dearer and bear no loss that is likely.
-constexpr std::uint32_t kMostVoters = 9;
+/// More voters make each commit more expensive and help only against losses
+/// that are unlikely.
+constexpr std::uint32_t kMaxVoters = 9;
 
 bool IsSilent(const VoterStatus& voter, Milliseconds limit) {
-  return !voter.leads && voter.silence > limit;
+  return !voter.is_leader && voter.silence > limit;
 }
 
-/// The voter that was silent for longest, if any was for `limit`.
-const VoterStatus* LongestSilent(const VoterSituation& situation,
+/// Returns the voter with the longest silence above `limit`, if any.
+const VoterStatus* LongestSilent(const MembershipStatus& membership,
                                  Milliseconds limit) {
   const VoterStatus* longest = nullptr;
-  for (const VoterStatus& voter : situation.voters) {
+  for (const VoterStatus& voter : membership.voters) {
     const bool silent = IsSilent(voter, limit);
     if (silent && (longest == nullptr || voter.silence > longest->silence)) {
       longest = &voter;
@@ -31,28 +32,31 @@
   return longest;
 }
 
-/// A voter that lives and does not lead; there is one among two that live.
-const VoterStatus* AnyOther(const VoterSituation& situation) {
+/// Returns the last voter that is not the leader, or null if the leader is the
+/// only voter.
+const VoterStatus* LastNonLeader(const MembershipStatus& membership) {
   const auto found =
-      std::find_if(situation.voters.rbegin(), situation.voters.rend(),
-                   [](const VoterStatus& voter) { return !voter.leads; });
-  return found == situation.voters.rend() ? nullptr : &*found;
+      std::find_if(membership.voters.rbegin(), membership.voters.rend(),
+                   [](const VoterStatus& voter) { return !voter.is_leader; });
+  return found == membership.voters.rend() ? nullptr : &*found;
 }
 
-/// The largest odd number of those that live, within the bounds.
-std::uint32_t WantedVoters(const VoterSituation& situation) {
-  const auto living = static_cast<std::uint32_t>(
-      situation.living_standbys +
+/// Returns the largest odd number of responsive instances, within the bounds.
+std::uint32_t TargetVoterCount(const MembershipStatus& membership) {
+  const auto responsive = static_cast<std::uint32_t>(
+      membership.reachable_standbys +
       static_cast<std::size_t>(
-          std::count_if(situation.voters.begin(), situation.voters.end(),
+          std::count_if(membership.voters.begin(), membership.voters.end(),
                         [](const VoterStatus& voter) {
                           return !IsSilent(voter, kRemoveAfter);
                         })));
-  const std::uint32_t odd = living % 2 == 0 && living > 0 ? living - 1 : living;
-  return std::max(situation.least_voters, std::min(odd, kMostVoters));
+  const std::uint32_t odd =
+      responsive % 2 == 0 && responsive > 0 ? responsive - 1 : responsive;
+  return std::max(membership.least_voters, std::min(odd, kMaxVoters));
 }
 
-wire::MemberChange Admit(const StandbyStatus& standby, std::uint32_t replaced) {
+wire::MemberChange AdmissionChange(const StandbyStatus& standby,
+                                   std::uint32_t replaced) {
   wire::MemberChange change;
   change.set_instance(standby.instance);
   change.set_incarnation(standby.incarnation);
@@ -60,17 +64,18 @@
   return change;
 }
 
-wire::MemberChange Remove(const VoterStatus& voter) {
+wire::MemberChange RemovalChange(const VoterStatus& voter) {
   wire::MemberChange change;
   change.set_instance(voter.instance);
   return change;
 }
 
-/// A standby whose instance is a voter has lost what it voted with.
-const StandbyStatus* ReturnedVoter(const VoterSituation& situation) {
-  for (const StandbyStatus& standby : situation.standbys) {
+/// Returns a standby with the id of a voter, if any. Its instance has lost the
+/// disk with its promises and has a new incarnation.
+const StandbyStatus* StandbyWithVoterId(const MembershipStatus& membership) {
+  for (const StandbyStatus& standby : membership.standbys) {
     const bool is_voter =
-        std::any_of(situation.voters.begin(), situation.voters.end(),
+        std::any_of(membership.voters.begin(), membership.voters.end(),
                     [&](const VoterStatus& voter) {
                       return voter.instance == standby.instance;
                     });
@@ -84,29 +89,30 @@
 }  // namespace
 
 std::optional<wire::MemberChange> PlanVoterChange(
-    const VoterSituation& situation) {
-  if (const StandbyStatus* returned = ReturnedVoter(situation)) {
-    return Admit(*returned, 0);
+    const MembershipStatus& membership) {
+  if (const StandbyStatus* readmitted = StandbyWithVoterId(membership)) {
+    return AdmissionChange(*readmitted, 0);
   }
-  const std::size_t count = situation.voters.size();
-  const std::uint32_t wanted = WantedVoters(situation);
-  if (!situation.standbys.empty()) {
-    const StandbyStatus& standby = situation.standbys.front();
-    if (const VoterStatus* silent = LongestSilent(situation, kReplaceAfter)) {
-      return Admit(standby, silent->instance);
+  const std::size_t count = membership.voters.size();
+  const std::uint32_t target = TargetVoterCount(membership);
+  if (!membership.standbys.empty()) {
+    const StandbyStatus& standby = membership.standbys.front();
+    if (const VoterStatus* silent = LongestSilent(membership, kReplaceAfter)) {
+      return AdmissionChange(standby, silent->instance);
     }
-    if (count < wanted) {
-      return Admit(standby, 0);
+    if (count < target) {
+      return AdmissionChange(standby, 0);
     }
   }
-  if (count <= wanted) {
+  if (count <= target) {
     return std::nullopt;
   }
-  if (const VoterStatus* silent = LongestSilent(situation, kRemoveAfter)) {
-    return Remove(*silent);
+  if (const VoterStatus* silent = LongestSilent(membership, kRemoveAfter)) {
+    return RemovalChange(*silent);
   }
-  const VoterStatus* surplus = AnyOther(situation);
-  return surplus == nullptr ? std::nullopt : std::optional(Remove(*surplus));
+  const VoterStatus* surplus = LastNonLeader(membership);
+  return surplus == nullptr ? std::nullopt
+                            : std::optional(RemovalChange(*surplus));
 }
 
 }  // namespace filbertwall
--- a/Source/Control/VoterChange.h
+++ b/Source/Control/VoterChange.h
@@ -7,37 +7,38 @@
 #include "Base/Time.h"
 #include "Wire/wire.pb.h"
 
-/// Decides which control instances vote.
+/// Selection of the control instances that vote.
 ///
-/// The voters are an odd number of the instances that live; the rest are
-/// standbys, which hold the state and do not vote. A voter that is silent gives
-/// its place to a standby in one change, so that each loss costs the tolerance
-/// for another one only until then. Pure function; thread safe.
+/// An odd number of the responsive instances are voters. The others are
+/// standbys, which hold the state and do not vote. A standby replaces a silent
+/// voter in one change, so that a loss reduces the fault tolerance only until
+/// the replacement. The function is pure and thread safe.
 namespace filbertwall {
 
-/// A voter as its leader sees it.
+/// The leader's view of a voter.
 struct VoterStatus {
   std::uint32_t instance = 0;
-  Milliseconds silence{0};  ///< Since it was last heard.
-  bool leads = false;
+  Milliseconds silence{0};  ///< Time since its last message.
+  bool is_leader = false;
 };
 
-/// An instance that holds the newest committed state and may become a voter.
+/// A standby that holds the newest committed state, so that it may vote.
 struct StandbyStatus {
   std::uint32_t instance = 0;
   std::uint64_t incarnation = 0;
 };
 
-struct VoterSituation {
+/// The leader's view of the voters and standbys.
+struct MembershipStatus {
   std::vector<VoterStatus> voters;
-  std::vector<StandbyStatus> standbys;  ///< Those that may be admitted now.
-  std::size_t living_standbys = 0;      ///< Also those that lag behind.
-  std::uint32_t least_voters = 3;       ///< Never fewer.
+  std::vector<StandbyStatus> standbys;  ///< Up to date; may vote.
+  std::size_t reachable_standbys = 0;   ///< Including outdated ones.
+  std::uint32_t least_voters = 3;       ///< Lower bound.
 };
 
-/// The next change to the voters, if any. One change at a time; each leaves a
-/// set of voters that bears `least_voters / 2` losses.
+/// Returns the next change to the voters, if one is due. Each change leaves a
+/// set of voters that tolerates `least_voters / 2` losses.
 std::optional<wire::MemberChange> PlanVoterChange(
-    const VoterSituation& situation);
+    const MembershipStatus& membership);
 
 }  // namespace filbertwall
