--- a/Tests/Control/FleetReplicaTest.cc
+++ b/Tests/Control/FleetReplicaTest.cc
@@ -8,7 +8,7 @@
 
 constexpr std::uint32_t kFounders = 3;
 
-std::set<std::uint32_t> MembersOf(const Group& group) {
+std::set<std::uint32_t> MembersOf(const ReplicaGroup& group) {
   std::set<std::uint32_t> members;
   const std::uint32_t leader = LeaderOf(group);
   for (const wire::Member& member :
@@ -18,14 +18,15 @@
   return members;
 }
 
-/// Random faults, with an instance replaced for good between two settlings.
-std::string ExploreFleet(std::uint64_t seed) {
-  Group group = MakeFleet(seed, kFounders, 4);
+/// Runs one random history in which some rounds replace an instance
+/// permanently. Returns the first violation or an empty string.
+std::string RunRandomFleetHistory(std::uint64_t seed) {
+  ReplicaGroup group = MakeFleet(seed, kFounders, 4);
   Settle(group);
   constexpr int kRounds = 5;
   constexpr int kSteps = 250;
   for (int round = 0; round < kRounds && group.violation.empty(); ++round) {
-    const bool replaces = Below(group, 2) == 0;
+    const bool replaces = RandomBelow(group, 2) == 0;
     int disks_to_lose = replaces ? 0 : 1;
     if (replaces) {
       ReplaceInstance(group, RandomInstance(group));
@@ -40,13 +41,14 @@
     const std::uint64_t before = HighestVersion(group);
     const std::uint32_t leader = LeaderOf(group);
     if (leader == 0) {
-      Violate(group, "no leader in round " + std::to_string(round));
+      RecordViolation(group, "no leader in round " + std::to_string(round));
       break;
     }
     Submit(group, leader, before + 1, "probe");
     Settle(group);
     if (HighestVersion(group) != before + 1) {
-      Violate(group, "no change is accepted in round " + std::to_string(round));
+      RecordViolation(
+          group, "no change is accepted in round " + std::to_string(round));
     }
   }
   return group.violation.empty()
@@ -59,7 +61,7 @@
 TEST_GROUP(FleetReplica){};
 
 TEST(FleetReplica, FoundersAndLaterOnesFormOneCluster) {
-  Group group = MakeFleet(1, kFounders, 5);
+  ReplicaGroup group = MakeFleet(1, kFounders, 5);
   Settle(group);
   const std::uint64_t cluster = group.replicas.at(1).committed.cluster();
   CHECK(cluster != 0);
@@ -71,7 +73,7 @@
 }
 
 TEST(FleetReplica, EmptyDisksAloneFoundNothing) {
-  Group group = MakeFleet(1, 0, 3);
+  ReplicaGroup group = MakeFleet(1, 0, 3);
   Settle(group);
   LONGS_EQUAL(0, LeaderOf(group));
   for (const auto& [id, replica] : group.replicas) {
@@ -79,19 +81,19 @@
   }
 }
 
-TEST(FleetReplica, SuccessorTakesThePlaceOfAVoterThatIsGone) {
-  Group group = MakeFleet(2, kFounders, 5);
+TEST(FleetReplica, NewInstanceReplacesALostVoter) {
+  ReplicaGroup group = MakeFleet(2, kFounders, 5);
   Settle(group);
-  const std::uint32_t gone = LeaderOf(group) == 2 ? 3 : 2;
-  const std::uint32_t fresh = ReplaceInstance(group, gone);
+  const std::uint32_t lost = LeaderOf(group) == 2 ? 3 : 2;
+  const std::uint32_t fresh = ReplaceInstance(group, lost);
   Settle(group);
   Settle(group);
   CHECK(MembersOf(group) ==
-        (std::set<std::uint32_t>{1, gone == 2 ? 3U : 2U, 4, 5, fresh}));
+        (std::set<std::uint32_t>{1, lost == 2 ? 3U : 2U, 4, 5, fresh}));
 }
 
 TEST(FleetReplica, EachInstanceMayBeReplacedInTurn) {
-  Group group = MakeFleet(3, kFounders, 4);
+  ReplicaGroup group = MakeFleet(3, kFounders, 4);
   Settle(group);
   for (std::uint32_t id = 1; id <= 4; ++id) {
     Submit(group, LeaderOf(group), id, "a");
@@ -108,21 +110,21 @@
   }
 }
 
-TEST(FleetReplica, OddNumberVotesAndTheOtherStandsBy) {
-  Group group = MakeFleet(7, kFounders, 4);
+TEST(FleetReplica, EvenGroupKeepsOneStandby) {
+  ReplicaGroup group = MakeFleet(7, kFounders, 4);
   Settle(group);
   LONGS_EQUAL(3, MembersOf(group).size());
   const Replica& standby = group.replicas.at(4);
   CHECK_FALSE(IsVoter(standby));
   Submit(group, LeaderOf(group), 1, "a");
-  PassTime(group, Milliseconds(200));
+  RunFor(group, Milliseconds(200));
   LONGS_EQUAL(1, standby.committed.rules().version());
   CHECK(KnowsNewest(standby, group.now, Milliseconds(400)));
 }
 
-TEST(FleetReplica, VotersStayAsTheyAreWithoutALoss) {
+TEST(FleetReplica, VotersDoNotChangeWithoutALoss) {
   for (std::uint32_t size = kFounders; size <= 8; ++size) {
-    Group group = MakeFleet(size, kFounders, size);
+    ReplicaGroup group = MakeFleet(size, kFounders, size);
     Settle(group);
     const std::uint64_t seq =
         group.replicas.at(LeaderOf(group)).committed.seq();
@@ -132,11 +134,11 @@
   }
 }
 
-TEST(FleetReplica, SilentVotersAreKeptWhenTooFewWouldBeLeft) {
-  Group group = MakeFleet(4, kFounders, kFounders);
+TEST(FleetReplica, SilentVotersStayWhenTooFewWouldRemain) {
+  ReplicaGroup group = MakeFleet(4, kFounders, kFounders);
   Settle(group);
-  const std::uint32_t gone = LeaderOf(group) == 2 ? 3 : 2;
-  group.replicas.erase(gone);
+  const std::uint32_t lost = LeaderOf(group) == 2 ? 3 : 2;
+  group.replicas.erase(lost);
   for (int i = 0; i < 5; ++i) {
     Settle(group);
   }
@@ -144,25 +146,25 @@
 }
 
 TEST(FleetReplica, RemovedVoterReturnsAsAnotherIncarnation) {
-  Group group = MakeFleet(5, kFounders, 5);
+  ReplicaGroup group = MakeFleet(5, kFounders, 5);
   Settle(group);
-  const std::uint32_t away = LeaderOf(group) == 2 ? 3 : 2;
-  const std::uint64_t incarnation = group.replicas.at(away).incarnation;
-  const Replica asleep = group.replicas.at(away);
-  group.replicas.erase(away);
+  const std::uint32_t stopped = LeaderOf(group) == 2 ? 3 : 2;
+  const std::uint64_t incarnation = group.replicas.at(stopped).incarnation;
+  const Replica stopped_replica = group.replicas.at(stopped);
+  group.replicas.erase(stopped);
   for (int i = 0; i < 4; ++i) {
     Settle(group);
   }
   LONGS_EQUAL(kFounders, MembersOf(group).size());
-  group.replicas[away] = asleep;
+  group.replicas[stopped] = stopped_replica;
   Settle(group);
   Settle(group);
   LONGS_EQUAL(5, MembersOf(group).size());
-  CHECK(group.replicas.at(away).incarnation != incarnation);
+  CHECK(group.replicas.at(stopped).incarnation != incarnation);
 }
 
 TEST(FleetReplica, FollowerSpeaksForTheLeaderOnlyWhileItHearsIt) {
-  Group group = MakeFleet(6, kFounders, kFounders);
+  ReplicaGroup group = MakeFleet(6, kFounders, kFounders);
   Settle(group);
   const std::uint32_t follower = LeaderOf(group) == 2 ? 3 : 2;
   const Replica& replica = group.replicas.at(follower);
@@ -173,6 +175,6 @@
 
 TEST(FleetReplica, RandomHistoriesWithReplacementsKeepAcceptedFiles) {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
-    STRCMP_EQUAL("", ExploreFleet(seed).c_str());
+    STRCMP_EQUAL("", RunRandomFleetHistory(seed).c_str());
   }
 }
--- a/Tests/Control/ReplicaGroup.h
+++ b/Tests/Control/ReplicaGroup.h
@@ -9,7 +9,7 @@
 
 #include "Control/Replica.h"
 
-/// Replicas, their disks and the packets between them, for tests of histories.
+/// Simulated replicas with disks and a network, for tests with faults.
 namespace filbertwall {
 
 struct Packet {
@@ -18,13 +18,16 @@
   wire::ControlMessage message;
 };
 
+/// Faults of the implementation that a test injects to check that the
+/// invariants detect them.
 struct Faults {
-  bool forget_promises = false;  ///< Planted: votes kept in memory only.
-  bool blank_keeps_incarnation = false;  ///< Planted: a lost disk still votes.
+  /// Promises are lost at each restart.
+  bool forget_promises = false;
+  /// An instance that lost its disk keeps its incarnation and votes.
+  bool lost_disk_keeps_incarnation = false;
 };
 
-/// A few replicas, their disks, and the packets between them.
-struct Group {
+struct ReplicaGroup {
   std::mt19937_64 random;
   Faults faults;
   TimePoint now{std::chrono::hours(1)};
@@ -32,49 +35,50 @@
   std::map<std::uint32_t, std::vector<wire::DurableRecord>> disks;
   std::vector<Packet> network;
   std::set<std::uint32_t> down;
-  std::set<std::uint32_t> cut_off;               ///< Run, but no packet passes.
-  std::map<std::uint64_t, std::string> decided;  ///< seq -> change.
+  std::set<std::uint32_t> partitioned;  ///< Their packets are dropped.
+  /// Version -> digest, as first committed at any replica.
+  std::map<std::uint64_t, std::string> committed_digests;
   std::map<std::uint64_t, wire::RulesFile> submitted;  ///< token -> file.
   std::map<std::uint64_t, std::string> accepted;       ///< version -> digest.
   std::vector<wire::RulesFile> refused;
   std::string violation;
   std::uint64_t next_token = 1;
   std::uint64_t next_incarnation = 100;
-  bool open_membership = false;  ///< As in a fleet.
+  bool open_membership = false;  ///< As in `MakeFleet`.
   std::set<std::uint32_t> founders;
-  std::set<std::uint32_t> replaced;  ///< Gone for good.
+  std::set<std::uint32_t> replaced;  ///< Lost permanently.
 };
 
-inline std::uint64_t Below(Group& group, std::uint64_t limit) {
+inline std::uint64_t RandomBelow(ReplicaGroup& group, std::uint64_t limit) {
   return group.random() % limit;
 }
 
-inline std::uint32_t RandomInstance(Group& group) {
+inline std::uint32_t RandomInstance(ReplicaGroup& group) {
   auto item = group.replicas.begin();
-  std::advance(
-      item, static_cast<std::ptrdiff_t>(Below(group, group.replicas.size())));
+  std::advance(item, static_cast<std::ptrdiff_t>(
+                         RandomBelow(group, group.replicas.size())));
   return item->first;
 }
 
-inline void Violate(Group& group, const std::string& what) {
+inline void RecordViolation(ReplicaGroup& group, const std::string& what) {
   if (group.violation.empty()) {
     group.violation = what;
   }
 }
 
-/// Each committed version is the same everywhere and for ever.
-inline void CheckState(Group& group, const Replica& replica) {
+/// Checks that a committed version never has two digests at any replica.
+inline void CheckState(ReplicaGroup& group, const Replica& replica) {
   for (const wire::VersionRecord& record : replica.committed.history()) {
     const auto [item, added] =
-        group.decided.emplace(record.version(), record.digest());
+        group.committed_digests.emplace(record.version(), record.digest());
     if (!added && item->second != record.digest()) {
-      Violate(group,
-              "version " + std::to_string(record.version()) + " has two texts");
+      RecordViolation(group, "version " + std::to_string(record.version()) +
+                                 " has two digests");
     }
   }
 }
 
-inline void TakeVerdict(Group& group, const ControlVerdict& verdict) {
+inline void RecordVerdict(ReplicaGroup& group, const ControlVerdict& verdict) {
   const auto file = group.submitted.find(verdict.token);
   if (file == group.submitted.end()) {
     return;
@@ -87,7 +91,8 @@
   }
 }
 
-inline void Apply(Group& group, std::uint32_t id, const ControlEvent& event) {
+inline void Apply(ReplicaGroup& group, std::uint32_t id,
+                  const ControlEvent& event) {
   Replica& replica = group.replicas.at(id);
   for (const ControlEffect& effect : Reduce(replica, event, group.now)) {
     if (const auto* send = std::get_if<ControlSend>(&effect)) {
@@ -96,13 +101,13 @@
     } else if (const auto* persist = std::get_if<ControlPersist>(&effect)) {
       group.disks[id].push_back(persist->record);
     } else if (const auto* verdict = std::get_if<ControlVerdict>(&effect)) {
-      TakeVerdict(group, *verdict);
+      RecordVerdict(group, *verdict);
     }
   }
   CheckState(group, replica);
 }
 
-inline void Boot(Group& group, std::uint32_t id) {
+inline void Boot(ReplicaGroup& group, std::uint32_t id) {
   Replica replica;
   replica.config.self = id;
   for (const auto& [other, disk] : group.disks) {
@@ -125,17 +130,17 @@
   Apply(group, id, ControlStarted{});
 }
 
-inline wire::DurableRecord BlankRecord(Group& group) {
+inline wire::DurableRecord BlankRecord(ReplicaGroup& group) {
   wire::DurableRecord record;
   record.set_incarnation(group.next_incarnation++);
   return record;
 }
 
-inline void LoseDisk(Group& group, std::uint32_t id) {
+inline void LoseDisk(ReplicaGroup& group, std::uint32_t id) {
   const std::uint64_t incarnation = group.replicas.at(id).incarnation;
   const std::uint64_t cluster = 7;
   wire::DurableRecord record = BlankRecord(group);
-  if (group.faults.blank_keeps_incarnation) {
+  if (group.faults.lost_disk_keeps_incarnation) {
     record.set_incarnation(incarnation);
     record.mutable_state()->set_cluster(cluster);
     *record.mutable_state()->mutable_members() =
@@ -145,9 +150,9 @@
   Boot(group, id);
 }
 
-inline Group MakeGroup(std::uint64_t seed, std::uint32_t size,
-                       Faults faults = {}) {
-  Group group{.random = std::mt19937_64(seed), .faults = faults};
+inline ReplicaGroup MakeGroup(std::uint64_t seed, std::uint32_t size,
+                              Faults faults = {}) {
+  ReplicaGroup group{.random = std::mt19937_64(seed), .faults = faults};
   for (std::uint32_t id = 1; id <= size; ++id) {
     group.disks[id] = {};
   }
@@ -161,10 +166,11 @@
   return group;
 }
 
-/// Founders start in the order of their ids reversed; the others join.
-inline Group MakeFleet(std::uint64_t seed, std::uint32_t founders,
-                       std::uint32_t size) {
-  Group group{.random = std::mt19937_64(seed), .open_membership = true};
+/// Starts `size` instances in descending order of their ids. The first
+/// `founders` of them have the founding record; the others have empty disks.
+inline ReplicaGroup MakeFleet(std::uint64_t seed, std::uint32_t founders,
+                              std::uint32_t size) {
+  ReplicaGroup group{.random = std::mt19937_64(seed), .open_membership = true};
   for (std::uint32_t id = 1; id <= founders; ++id) {
     group.founders.insert(id);
   }
@@ -179,8 +185,9 @@
   return group;
 }
 
-/// `id` is gone for good; an empty one comes under the next id.
-inline std::uint32_t ReplaceInstance(Group& group, std::uint32_t id) {
+/// Removes `id` permanently and starts an instance with an empty disk under the
+/// next id. Returns the new id.
+inline std::uint32_t ReplaceInstance(ReplicaGroup& group, std::uint32_t id) {
   group.replicas.erase(id);
   group.down.erase(id);
   group.replaced.insert(id);
@@ -190,12 +197,12 @@
   return fresh;
 }
 
-inline void Deliver(Group& group, std::size_t index) {
+inline void Deliver(ReplicaGroup& group, std::size_t index) {
   const Packet packet = group.network[index];
   group.network.erase(group.network.begin() +
                       static_cast<std::ptrdiff_t>(index));
-  const bool passes = !group.cut_off.contains(packet.from) &&
-                      !group.cut_off.contains(packet.to);
+  const bool passes = !group.partitioned.contains(packet.from) &&
+                      !group.partitioned.contains(packet.to);
   if (passes && !group.down.contains(packet.to) &&
       group.replicas.contains(packet.to)) {
     Apply(group, packet.to,
@@ -203,7 +210,7 @@
   }
 }
 
-inline void Tick(Group& group, Milliseconds step) {
+inline void Tick(ReplicaGroup& group, Milliseconds step) {
   group.now += step;
   for (const auto& [id, replica] : std::map(group.replicas)) {
     if (!group.down.contains(id)) {
@@ -212,8 +219,8 @@
   }
 }
 
-/// Lets time pass; every packet that may pass arrives at once.
-inline void PassTime(Group& group, Milliseconds time) {
+/// Advances the clock by `time` and delivers all packets at once.
+inline void RunFor(ReplicaGroup& group, Milliseconds time) {
   constexpr Milliseconds kStep{20};
   for (Milliseconds passed{0}; passed < time; passed += kStep) {
     Tick(group, kStep);
@@ -223,15 +230,15 @@
   }
 }
 
-/// Lets time pass without faults until nothing more happens.
-inline void Settle(Group& group) {
+/// Starts the stopped instances and runs long enough to converge.
+inline void Settle(ReplicaGroup& group) {
   for (std::uint32_t id : std::set(group.down)) {
     Boot(group, id);
   }
-  PassTime(group, Milliseconds(8000));
+  RunFor(group, Milliseconds(8000));
 }
 
-inline void Submit(Group& group, std::uint32_t id, std::uint64_t version,
+inline void Submit(ReplicaGroup& group, std::uint32_t id, std::uint64_t version,
                    const std::string& digest) {
   const std::uint64_t token = group.next_token++;
   ControlSubmitted event{.token = token};
@@ -243,7 +250,7 @@
   Apply(group, id, event);
 }
 
-inline std::uint64_t HighestVersion(const Group& group) {
+inline std::uint64_t HighestVersion(const ReplicaGroup& group) {
   std::uint64_t highest = 0;
   for (const auto& [id, replica] : group.replicas) {
     highest = std::max(highest, replica.committed.rules().version());
@@ -251,29 +258,30 @@
   return highest;
 }
 
-inline void SubmitRandom(Group& group) {
+inline void SubmitRandom(ReplicaGroup& group) {
   const auto id = RandomInstance(group);
   if (!group.down.contains(id)) {
-    Submit(group, id, HighestVersion(group) + Below(group, 2),
-           std::string(1, static_cast<char>('a' + Below(group, 4))));
+    Submit(group, id, HighestVersion(group) + RandomBelow(group, 2),
+           std::string(1, static_cast<char>('a' + RandomBelow(group, 4))));
   }
 }
 
-/// One random step. At most one disk is lost while the group is not settled.
-inline void Step(Group& group, int& disks_to_lose) {
-  const std::uint64_t choice = Below(group, 1000);
+/// Takes one random step, which may lose a disk if `disks_to_lose` allows it. A
+/// caller allows one lost disk between two calls of `Settle`.
+inline void Step(ReplicaGroup& group, int& disks_to_lose) {
+  const std::uint64_t choice = RandomBelow(group, 1000);
   const auto id = RandomInstance(group);
   if (choice < 600 && !group.network.empty()) {
-    Deliver(group, Below(group, group.network.size()));
+    Deliver(group, RandomBelow(group, group.network.size()));
   } else if (choice < 650 && !group.network.empty()) {
     group.network.erase(
         group.network.begin() +
-        static_cast<std::ptrdiff_t>(Below(group, group.network.size())));
+        static_cast<std::ptrdiff_t>(RandomBelow(group, group.network.size())));
   } else if (choice < 700 && !group.network.empty()) {
-    const std::size_t index = Below(group, group.network.size());
+    const std::size_t index = RandomBelow(group, group.network.size());
     group.network.push_back(Packet(group.network[index]));
   } else if (choice < 880) {
-    Tick(group, Milliseconds(1 + Below(group, 120)));
+    Tick(group, Milliseconds(1 + RandomBelow(group, 120)));
   } else if (choice < 960) {
     SubmitRandom(group);
   } else if (choice < 975) {
@@ -286,43 +294,47 @@
   }
 }
 
-inline void CheckVerdicts(Group& group) {
+inline void CheckVerdicts(ReplicaGroup& group) {
   for (const auto& [version, digest] : group.accepted) {
-    const auto decided = group.decided.find(version);
-    if (decided == group.decided.end() || decided->second != digest) {
-      Violate(group, "accepted version " + std::to_string(version) +
-                         " is not in force");
+    const auto committed_digest = group.committed_digests.find(version);
+    if (committed_digest == group.committed_digests.end() ||
+        committed_digest->second != digest) {
+      RecordViolation(group, "accepted version " + std::to_string(version) +
+                                 " is not committed");
     }
   }
   for (const wire::RulesFile& file : group.refused) {
-    const auto decided = group.decided.find(file.version());
-    if (decided != group.decided.end() && decided->second == file.digest()) {
-      Violate(group, "refused version " + std::to_string(file.version()) +
-                         " is in force");
+    const auto committed_digest = group.committed_digests.find(file.version());
+    if (committed_digest != group.committed_digests.end() &&
+        committed_digest->second == file.digest()) {
+      RecordViolation(group, "refused version " +
+                                 std::to_string(file.version()) +
+                                 " is committed");
     }
   }
 }
 
-/// Whether all replicas hold the same newest state, with all accepted files.
-inline void CheckConverged(Group& group) {
+/// Checks that all replicas hold the newest version and that no accepted
+/// version was lost.
+inline void CheckConverged(ReplicaGroup& group) {
   const std::uint64_t highest = HighestVersion(group);
   for (const auto& [id, replica] : group.replicas) {
     if (replica.committed.rules().version() != highest) {
-      Violate(group, "instance " + std::to_string(id) + " stays behind");
+      RecordViolation(group, "instance " + std::to_string(id) + " lags behind");
     }
   }
   for (const auto& [version, digest] : group.accepted) {
     if (version > highest) {
-      Violate(group,
-              "accepted version " + std::to_string(version) + " was lost");
+      RecordViolation(
+          group, "accepted version " + std::to_string(version) + " was lost");
     }
   }
 }
 
-/// Runs one random history and gives the violation found, if any.
-inline std::string Explore(std::uint64_t seed, std::uint32_t size, int steps,
-                           Faults faults = {}) {
-  Group group = MakeGroup(seed, size, faults);
+/// Runs one random history. Returns the first violation or an empty string.
+inline std::string RunRandomHistory(std::uint64_t seed, std::uint32_t size,
+                                    int steps, Faults faults = {}) {
+  ReplicaGroup group = MakeGroup(seed, size, faults);
   Settle(group);
   const int rounds = 4;
   for (int round = 0; round < rounds && group.violation.empty(); ++round) {
@@ -340,12 +352,12 @@
   return "seed " + std::to_string(seed) + ": " + group.violation;
 }
 
-inline std::string ExploreMany(std::uint64_t first_seed, int runs,
-                               Faults faults) {
+inline std::string RunRandomHistories(std::uint64_t first_seed, int runs,
+                                      Faults faults) {
   for (int run = 0; run < runs; ++run) {
     const std::uint64_t seed = first_seed + static_cast<std::uint64_t>(run);
     const auto size = static_cast<std::uint32_t>(3 + 2 * (seed % 2));
-    const std::string found = Explore(seed, size, 1200, faults);
+    const std::string found = RunRandomHistory(seed, size, 1200, faults);
     if (!found.empty()) {
       return found;
     }
@@ -353,7 +365,7 @@
   return "";
 }
 
-inline std::uint32_t LeaderOf(const Group& group) {
+inline std::uint32_t LeaderOf(const ReplicaGroup& group) {
   for (const auto& [id, replica] : group.replicas) {
     if (HasLease(replica, group.now)) {
       return id;
--- a/Tests/Control/ReplicaTest.cc
+++ b/Tests/Control/ReplicaTest.cc
@@ -7,24 +7,24 @@
 TEST_GROUP(Replica){};
 
 TEST(Replica, RandomHistoriesKeepAcceptedFiles) {
-  const std::string found = ExploreMany(1, 300, {});
+  const std::string found = RunRandomHistories(1, 300, {});
   STRCMP_EQUAL("", found.c_str());
 }
 
-TEST(Replica, CheckFindsVotesKeptInMemory) {
+TEST(Replica, CheckDetectsUnpersistedPromises) {
   const std::string found =
-      ExploreMany(1, 400, Faults{.forget_promises = true});
+      RunRandomHistories(1, 400, Faults{.forget_promises = true});
   CHECK_FALSE(found.empty());
 }
 
-TEST(Replica, CheckFindsLostDiskThatStillVotes) {
+TEST(Replica, CheckDetectsLostDiskThatStillVotes) {
   const std::string found =
-      ExploreMany(1, 400, Faults{.blank_keeps_incarnation = true});
+      RunRandomHistories(1, 400, Faults{.lost_disk_keeps_incarnation = true});
   CHECK_FALSE(found.empty());
 }
 
 TEST(Replica, OneOfTwoEqualVersionsIsAccepted) {
-  Group group = MakeGroup(1, 3);
+  ReplicaGroup group = MakeGroup(1, 3);
   Settle(group);
   const std::uint32_t leader = LeaderOf(group);
   Submit(group, leader, 1, "a");
@@ -36,7 +36,7 @@
 }
 
 TEST(Replica, ResentFileGetsItsFirstVerdictEverywhere) {
-  Group group = MakeGroup(1, 3);
+  ReplicaGroup group = MakeGroup(1, 3);
   Settle(group);
   Submit(group, LeaderOf(group), 1, "a");
   Settle(group);
@@ -49,7 +49,7 @@
 }
 
 TEST(Replica, LeaderThatSleptPastItsLeaseDoesNotClaimIt) {
-  Group group = MakeGroup(1, 3);
+  ReplicaGroup group = MakeGroup(1, 3);
   Settle(group);
   const std::uint32_t leader = LeaderOf(group);
   Replica& replica = group.replicas.at(leader);
@@ -62,7 +62,7 @@
 }
 
 TEST(Replica, NoPromiseWithinALeaseGrantedBeforeARestart) {
-  Group group = MakeGroup(1, 3);
+  ReplicaGroup group = MakeGroup(1, 3);
   Settle(group);
   const std::uint32_t leader = LeaderOf(group);
   const std::uint32_t voter = leader == 1 ? 2 : 1;
@@ -78,7 +78,7 @@
 }
 
 TEST(Replica, LostDiskIsReadmittedAndASecondLossLosesNothing) {
-  Group group = MakeGroup(3, 3);
+  ReplicaGroup group = MakeGroup(3, 3);
   Settle(group);
   Submit(group, LeaderOf(group), 1, "a");
   Settle(group);
@@ -92,8 +92,8 @@
   STRCMP_EQUAL("", group.violation.c_str());
 }
 
-TEST(Replica, RemovedVoterDoesNotComeBackByItself) {
-  Group group = MakeGroup(3, 3);
+TEST(Replica, RemovedVoterIsNotReadmitted) {
+  ReplicaGroup group = MakeGroup(3, 3);
   Settle(group);
   const std::uint32_t leader = LeaderOf(group);
   const std::uint32_t removed = leader == 3 ? 2 : 3;
--- a/Tests/Control/VoterLossTest.cc
+++ b/Tests/Control/VoterLossTest.cc
@@ -2,24 +2,27 @@
 
 #include <CppUTest/TestHarness.h>
 
-/// Checks every series of a few losses, each within what a fleet tolerates at
-/// once: a planned replacement, an unplanned one, a lost disk and a cut, in
-/// every order and at every instance. Some leader must accept changes once all
-/// that run are connected again, and nothing accepted may be lost.
+/// Runs series of losses, each of which a fleet tolerates at once: a planned
+/// replacement, an unplanned one, a lost disk and a network partition, in every
+/// order and at every instance. The tests guard against a loss that reduces the
+/// tolerance for the next one. After each loss, with all running instances
+/// connected, a leader must accept changes, and no accepted change may be lost.
 using namespace filbertwall;
 
 namespace {
 
-constexpr std::uint32_t kSeeds = 3;
-/// The next loss comes after this time.
+constexpr std::uint32_t kFounders = 3;
+/// Time between a loss and the next one.
 constexpr Milliseconds kGap{6000};
-/// How long a loss lasts that ends by itself.
-constexpr Milliseconds kCutTime{4000};
+/// Duration of a network partition.
+constexpr Milliseconds kPartitionTime{4000};
+/// Planned replacement: time for which both instances run. Unplanned: time
+/// between the loss and the start of the new instance.
 constexpr Milliseconds kOverlap{3000};
 /// A leader must accept changes this long after the last loss.
 constexpr Milliseconds kRecoveryLimit{4000};
 
-enum class Loss { kPlannedReplacement, kReplacement, kDisk, kCut };
+enum class Loss { kPlannedReplacement, kReplacement, kDisk, kPartition };
 
 std::string NameOf(Loss loss) {
   switch (loss) {
@@ -29,65 +32,66 @@
       return "replacement";
     case Loss::kDisk:
       return "lost disk";
-    case Loss::kCut:
-      return "cut";
+    case Loss::kPartition:
+      return "network partition";
   }
   return "";
 }
 
-/// Starts an empty instance under the next id.
-std::uint32_t AddInstance(Group& group) {
+/// Starts an instance with an empty disk under the next id. Returns the id.
+std::uint32_t AddInstance(ReplicaGroup& group) {
   const std::uint32_t fresh = group.disks.rbegin()->first + 1;
   group.disks[fresh] = {BlankRecord(group)};
   Boot(group, fresh);
   return fresh;
 }
 
-void EndForGood(Group& group, std::uint32_t id) {
+void RemoveInstance(ReplicaGroup& group, std::uint32_t id) {
   group.replicas.erase(id);
   group.replaced.insert(id);
 }
 
-/// The `place`-th of the instances that run now.
-std::uint32_t InstanceAt(const Group& group, std::size_t place) {
+/// Returns the running instance at index `place` modulo their number.
+std::uint32_t InstanceAt(const ReplicaGroup& group, std::size_t place) {
   auto item = group.replicas.begin();
   std::advance(item,
                static_cast<std::ptrdiff_t>(place % group.replicas.size()));
   return item->first;
 }
 
-void Suffer(Group& group, Loss loss, std::uint32_t id) {
+void InjectLoss(ReplicaGroup& group, Loss loss, std::uint32_t id) {
   switch (loss) {
     case Loss::kPlannedReplacement:
       AddInstance(group);
-      PassTime(group, kOverlap);
-      EndForGood(group, id);
+      RunFor(group, kOverlap);
+      RemoveInstance(group, id);
       return;
     case Loss::kReplacement:
-      EndForGood(group, id);
-      PassTime(group, kOverlap);
+      RemoveInstance(group, id);
+      RunFor(group, kOverlap);
       AddInstance(group);
       return;
     case Loss::kDisk:
       LoseDisk(group, id);
       return;
-    case Loss::kCut:
-      group.cut_off.insert(id);
-      PassTime(group, kCutTime);
-      group.cut_off.clear();
+    case Loss::kPartition:
+      group.partitioned.insert(id);
+      RunFor(group, kPartitionTime);
+      group.partitioned.clear();
       return;
   }
 }
 
-/// Submits at whoever leads; false when nobody accepts within the limit.
-bool AcceptsChange(Group& group) {
+/// Submits a change to the current leader until one is accepted. Returns false
+/// if none is accepted within `kRecoveryLimit`.
+bool AcceptsChange(ReplicaGroup& group) {
   const std::uint64_t version = HighestVersion(group) + 1;
   constexpr Milliseconds kPause{200};
   for (Milliseconds waited{0}; waited < kRecoveryLimit; waited += kPause) {
     if (const std::uint32_t leader = LeaderOf(group); leader != 0) {
       Submit(group, leader, version, "v" + std::to_string(version));
     }
-    PassTime(group, kPause);
+    RunFor(group, kPause);
     if (group.accepted.contains(version)) {
       return true;
     }
@@ -95,32 +99,32 @@
   return false;
 }
 
-/// Plays one series; gives what went wrong, if anything.
-std::string Play(std::uint32_t size, const std::vector<Loss>& losses,
-                 const std::vector<std::size_t>& places) {
-  Group group = MakeFleet(1, kSeeds, size);
-  PassTime(group, kGap);
+/// Runs one series of losses. Returns the violation or an empty string.
+std::string RunSeries(std::uint32_t size, const std::vector<Loss>& losses,
+                      const std::vector<std::size_t>& places) {
+  ReplicaGroup group = MakeFleet(1, kFounders, size);
+  RunFor(group, kGap);
   std::string series = std::to_string(size) + " instances";
   for (std::size_t i = 0; i < losses.size(); ++i) {
     const std::uint32_t id = InstanceAt(group, places[i]);
     series += ", " + NameOf(losses[i]) + " at " + std::to_string(id);
-    Suffer(group, losses[i], id);
+    InjectLoss(group, losses[i], id);
     if (!AcceptsChange(group)) {
       return series + ": no change is accepted";
     }
-    PassTime(group, kGap);
+    RunFor(group, kGap);
   }
   CheckVerdicts(group);
   CheckConverged(group);
   return group.violation.empty() ? "" : series + ": " + group.violation;
 }
 
-/// All series of `losses` in their order, at every instance.
-std::string PlayEverywhere(std::uint32_t size,
-                           const std::vector<Loss>& losses) {
+/// Runs `losses` in their order at every combination of instances.
+std::string RunAtEveryInstance(std::uint32_t size,
+                               const std::vector<Loss>& losses) {
   std::vector<std::size_t> places(losses.size(), 0);
   while (true) {
-    const std::string found = Play(size, losses, places);
+    const std::string found = RunSeries(size, losses, places);
     if (!found.empty()) {
       return found;
     }
@@ -134,10 +138,10 @@
   }
 }
 
-std::string PlayEveryOrder(std::uint32_t size, std::vector<Loss> losses) {
+std::string RunInEveryOrder(std::uint32_t size, std::vector<Loss> losses) {
   std::sort(losses.begin(), losses.end());
   do {
-    const std::string found = PlayEverywhere(size, losses);
+    const std::string found = RunAtEveryInstance(size, losses);
     if (!found.empty()) {
       return found;
     }
@@ -151,29 +155,29 @@
 
 TEST(VoterLoss, PlannedReplacementLeavesRoomForALostDisk) {
   for (std::uint32_t size = 3; size <= 5; ++size) {
-    STRCMP_EQUAL(
-        "",
-        PlayEveryOrder(size, {Loss::kPlannedReplacement, Loss::kDisk}).c_str());
+    STRCMP_EQUAL("",
+                 RunInEveryOrder(size, {Loss::kPlannedReplacement, Loss::kDisk})
+                     .c_str());
   }
 }
 
-TEST(VoterLoss, ThreeInstancesBearEverySeries) {
-  STRCMP_EQUAL("", PlayEveryOrder(
-                       3, {Loss::kPlannedReplacement, Loss::kDisk, Loss::kCut})
+TEST(VoterLoss, ThreeInstancesTolerateEverySeries) {
+  STRCMP_EQUAL("", RunInEveryOrder(3, {Loss::kPlannedReplacement, Loss::kDisk,
+                                       Loss::kPartition})
+                       .c_str());
+  STRCMP_EQUAL("", RunInEveryOrder(
+                       3, {Loss::kReplacement, Loss::kDisk, Loss::kPartition})
                        .c_str());
-  STRCMP_EQUAL(
-      "",
-      PlayEveryOrder(3, {Loss::kReplacement, Loss::kDisk, Loss::kCut}).c_str());
 }
 
-TEST(VoterLoss, FourInstancesBearEverySeries) {
-  STRCMP_EQUAL("", PlayEveryOrder(
-                       4, {Loss::kPlannedReplacement, Loss::kDisk, Loss::kCut})
+TEST(VoterLoss, FourInstancesTolerateEverySeries) {
+  STRCMP_EQUAL("", RunInEveryOrder(4, {Loss::kPlannedReplacement, Loss::kDisk,
+                                       Loss::kPartition})
                        .c_str());
 }
 
-TEST(VoterLoss, FiveInstancesBearTwoReplacementsInARow) {
-  STRCMP_EQUAL("", PlayEveryOrder(5, {Loss::kPlannedReplacement,
-                                      Loss::kReplacement, Loss::kDisk})
+TEST(VoterLoss, FiveInstancesTolerateTwoReplacementsInARow) {
+  STRCMP_EQUAL("", RunInEveryOrder(5, {Loss::kPlannedReplacement,
+                                       Loss::kReplacement, Loss::kDisk})
                        .c_str());
 }
