--- a/Tests/Control/FleetReplicaTest.cc
+++ b/Tests/Control/FleetReplicaTest.cc
@@ -85,11 +85,11 @@
   ReplicaGroup group = MakeFleet(2, kFounders, 5);
   Settle(group);
   const std::uint32_t lost = LeaderOf(group) == 2 ? 3 : 2;
-  const std::uint32_t fresh = ReplaceInstance(group, lost);
+  const std::uint32_t new_id = ReplaceInstance(group, lost);
   Settle(group);
   Settle(group);
   CHECK(MembersOf(group) ==
-        (std::set<std::uint32_t>{1, lost == 2 ? 3U : 2U, 4, 5, fresh}));
+        (std::set<std::uint32_t>{1, lost == 2 ? 3U : 2U, 4, 5, new_id}));
 }
 
 TEST(FleetReplica, EachInstanceMayBeReplacedInTurn) {
--- a/Tests/Control/ReplicaGroup.h
+++ b/Tests/Control/ReplicaGroup.h
@@ -34,7 +34,7 @@
   std::map<std::uint32_t, Replica> replicas;
   std::map<std::uint32_t, std::vector<wire::DurableRecord>> disks;
   std::vector<Packet> network;
-  std::set<std::uint32_t> down;
+  std::set<std::uint32_t> stopped_instances;
   std::set<std::uint32_t> partitioned;  ///< Their packets are dropped.
   /// Version -> digest, as first committed at any replica.
   std::map<std::uint64_t, std::string> committed_digests;
@@ -107,7 +107,7 @@
   CheckState(group, replica);
 }
 
-inline void Boot(ReplicaGroup& group, std::uint32_t id) {
+inline void StartInstance(ReplicaGroup& group, std::uint32_t id) {
   Replica replica;
   replica.config.self = id;
   for (const auto& [other, disk] : group.disks) {
@@ -126,11 +126,11 @@
     Restore(replica, record);
   }
   group.replicas[id] = replica;
-  group.down.erase(id);
+  group.stopped_instances.erase(id);
   Apply(group, id, ControlStarted{});
 }
 
-inline wire::DurableRecord BlankRecord(ReplicaGroup& group) {
+inline wire::DurableRecord EmptyDiskRecord(ReplicaGroup& group) {
   wire::DurableRecord record;
   record.set_incarnation(group.next_incarnation++);
   return record;
@@ -139,7 +139,7 @@
 inline void LoseDisk(ReplicaGroup& group, std::uint32_t id) {
   const std::uint64_t incarnation = group.replicas.at(id).incarnation;
   const std::uint64_t cluster = 7;
-  wire::DurableRecord record = BlankRecord(group);
+  wire::DurableRecord record = EmptyDiskRecord(group);
   if (group.faults.lost_disk_keeps_incarnation) {
     record.set_incarnation(incarnation);
     record.mutable_state()->set_cluster(cluster);
@@ -147,7 +147,7 @@
         group.replicas.at(id).committed.members();
   }
   group.disks[id] = {record};
-  Boot(group, id);
+  StartInstance(group, id);
 }
 
 inline ReplicaGroup MakeGroup(std::uint64_t seed, std::uint32_t size,
@@ -158,10 +158,10 @@
   }
   group.disks[1] = {FormatRecord(1, 50, 7)};
   for (std::uint32_t id = 2; id <= size; ++id) {
-    group.disks[id] = {BlankRecord(group)};
+    group.disks[id] = {EmptyDiskRecord(group)};
   }
   for (std::uint32_t id = 1; id <= size; ++id) {
-    Boot(group, id);
+    StartInstance(group, id);
   }
   return group;
 }
@@ -177,10 +177,10 @@
   for (std::uint32_t id = 1; id <= size; ++id) {
     group.disks[id] = {group.founders.contains(id)
                            ? FoundingRecord(id, group.founders)
-                           : BlankRecord(group)};
+                           : EmptyDiskRecord(group)};
   }
   for (std::uint32_t id = size; id >= 1; --id) {
-    Boot(group, id);
+    StartInstance(group, id);
   }
   return group;
 }
@@ -189,12 +189,12 @@
 /// next id. Returns the new id.
 inline std::uint32_t ReplaceInstance(ReplicaGroup& group, std::uint32_t id) {
   group.replicas.erase(id);
-  group.down.erase(id);
+  group.stopped_instances.erase(id);
   group.replaced.insert(id);
-  const std::uint32_t fresh = group.disks.rbegin()->first + 1;
-  group.disks[fresh] = {BlankRecord(group)};
-  Boot(group, fresh);
-  return fresh;
+  const std::uint32_t new_id = group.disks.rbegin()->first + 1;
+  group.disks[new_id] = {EmptyDiskRecord(group)};
+  StartInstance(group, new_id);
+  return new_id;
 }
 
 inline void Deliver(ReplicaGroup& group, std::size_t index) {
@@ -203,7 +203,7 @@
                       static_cast<std::ptrdiff_t>(index));
   const bool passes = !group.partitioned.contains(packet.from) &&
                       !group.partitioned.contains(packet.to);
-  if (passes && !group.down.contains(packet.to) &&
+  if (passes && !group.stopped_instances.contains(packet.to) &&
       group.replicas.contains(packet.to)) {
     Apply(group, packet.to,
           ControlReceived{.from = packet.from, .message = packet.message});
@@ -213,7 +213,7 @@
 inline void Tick(ReplicaGroup& group, Milliseconds step) {
   group.now += step;
   for (const auto& [id, replica] : std::map(group.replicas)) {
-    if (!group.down.contains(id)) {
+    if (!group.stopped_instances.contains(id)) {
       Apply(group, id, ControlTick{});
     }
   }
@@ -232,8 +232,8 @@
 
 /// Starts the stopped instances and runs long enough to converge.
 inline void Settle(ReplicaGroup& group) {
-  for (std::uint32_t id : std::set(group.down)) {
-    Boot(group, id);
+  for (std::uint32_t id : std::set(group.stopped_instances)) {
+    StartInstance(group, id);
   }
   RunFor(group, Milliseconds(8000));
 }
@@ -260,7 +260,7 @@
 
 inline void SubmitRandom(ReplicaGroup& group) {
   const auto id = RandomInstance(group);
-  if (!group.down.contains(id)) {
+  if (!group.stopped_instances.contains(id)) {
     Submit(group, id, HighestVersion(group) + RandomBelow(group, 2),
            std::string(1, static_cast<char>('a' + RandomBelow(group, 4))));
   }
@@ -285,9 +285,9 @@
   } else if (choice < 960) {
     SubmitRandom(group);
   } else if (choice < 975) {
-    group.down.insert(id);
+    group.stopped_instances.insert(id);
   } else if (choice < 995) {
-    Boot(group, id);
+    StartInstance(group, id);
   } else if (disks_to_lose > 0) {
     disks_to_lose -= 1;
     LoseDisk(group, id);
--- a/Tests/Control/ReplicaTest.cc
+++ b/Tests/Control/ReplicaTest.cc
@@ -42,7 +42,7 @@
   Settle(group);
   group.accepted.clear();
   for (const std::uint32_t id : {1U, 2U, 3U}) {
-    Boot(group, id);
+    StartInstance(group, id);
     Submit(group, id, 1, "a");
     STRCMP_EQUAL("a", group.accepted.at(1).c_str());
   }
@@ -66,7 +66,7 @@
   Settle(group);
   const std::uint32_t leader = LeaderOf(group);
   const std::uint32_t voter = leader == 1 ? 2 : 1;
-  Boot(group, voter);
+  StartInstance(group, voter);
   group.network.clear();
   wire::ControlMessage message;
   message.set_cluster(7);
--- a/Tests/Control/VoterLossTest.cc
+++ b/Tests/Control/VoterLossTest.cc
@@ -40,10 +40,10 @@
 
 /// Starts an instance with an empty disk under the next id. Returns the id.
 std::uint32_t AddInstance(ReplicaGroup& group) {
-  const std::uint32_t fresh = group.disks.rbegin()->first + 1;
-  group.disks[fresh] = {BlankRecord(group)};
-  Boot(group, fresh);
-  return fresh;
+  const std::uint32_t new_id = group.disks.rbegin()->first + 1;
+  group.disks[new_id] = {EmptyDiskRecord(group)};
+  StartInstance(group, new_id);
+  return new_id;
 }
 
 void RemoveInstance(ReplicaGroup& group, std::uint32_t id) {
@@ -51,11 +51,11 @@
   group.replaced.insert(id);
 }
 
-/// Returns the running instance at index `place` modulo their number.
-std::uint32_t InstanceAt(const ReplicaGroup& group, std::size_t place) {
+/// Returns the running instance at `index` modulo their number.
+std::uint32_t InstanceAtIndex(const ReplicaGroup& group, std::size_t index) {
   auto item = group.replicas.begin();
   std::advance(item,
-               static_cast<std::ptrdiff_t>(place % group.replicas.size()));
+               static_cast<std::ptrdiff_t>(index % group.replicas.size()));
   return item->first;
 }
 
@@ -101,12 +101,12 @@
 
 /// Runs one series of losses. Returns the violation or an empty string.
 std::string RunSeries(std::uint32_t size, const std::vector<Loss>& losses,
-                      const std::vector<std::size_t>& places) {
+                      const std::vector<std::size_t>& indexes) {
   ReplicaGroup group = MakeFleet(1, kFounders, size);
   RunFor(group, kGap);
   std::string series = std::to_string(size) + " instances";
   for (std::size_t i = 0; i < losses.size(); ++i) {
-    const std::uint32_t id = InstanceAt(group, places[i]);
+    const std::uint32_t id = InstanceAtIndex(group, indexes[i]);
     series += ", " + NameOf(losses[i]) + " at " + std::to_string(id);
     InjectLoss(group, losses[i], id);
     if (!AcceptsChange(group)) {
@@ -122,17 +122,17 @@
 /// Runs `losses` in their order at every combination of instances.
 std::string RunAtEveryInstance(std::uint32_t size,
                                const std::vector<Loss>& losses) {
-  std::vector<std::size_t> places(losses.size(), 0);
+  std::vector<std::size_t> indexes(losses.size(), 0);
   while (true) {
-    const std::string found = RunSeries(size, losses, places);
+    const std::string found = RunSeries(size, losses, indexes);
     if (!found.empty()) {
       return found;
     }
     std::size_t digit = 0;
-    while (digit < places.size() && ++places[digit] == size) {
-      places[digit++] = 0;
+    while (digit < indexes.size() && ++indexes[digit] == size) {
+      indexes[digit++] = 0;
     }
-    if (digit == places.size()) {
+    if (digit == indexes.size()) {
       return "";
     }
   }
