--- a/Source/Forwarding/FlowOutcomes.cc
+++ b/Source/Forwarding/FlowOutcomes.cc
@@ -5,27 +5,30 @@
 namespace filbertwall {
 namespace {
 
-constexpr double kLengthWeight = 0.05;
-/// An answer shorter than this part of the usual length is an error.
-constexpr double kShortAnswer = 0.25;
-/// One long answer moves the usual length no more than one of so many times it.
-constexpr double kMostTimesUsual = 8;
+/// Weight of a new answer in the moving average.
+constexpr double kAverageWeight = 0.05;
+/// An answer shorter than this fraction of the average counts as an error.
+constexpr double kShortAnswerRatio = 0.25;
+/// Longer answers enter the average as this multiple of it, so that a single
+/// long answer has a bounded effect.
+constexpr double kMaxRatioToAverage = 8;
 
 }  // namespace
 
-bool NoteAnswer(FlowOutcomes& outcomes, RouteKey address, ServerIndex server,
-                std::uint32_t length) {
-  double& usual = outcomes.usual_length[address];
-  const bool is_short = length < usual * kShortAnswer;
+bool RecordAnswer(FlowOutcomes& outcomes, RouteKey address, ServerIndex server,
+                  std::uint32_t length) {
+  double& average = outcomes.average_length[address];
+  const bool is_short = length < average * kShortAnswerRatio;
   const double measured =
-      usual == 0 ? length : std::min<double>(length, usual * kMostTimesUsual);
-  usual += (usual == 0 ? 1 : kLengthWeight) * (measured - usual);
+      average == 0 ? length
+                   : std::min<double>(length, average * kMaxRatioToAverage);
+  average += (average == 0 ? 1 : kAverageWeight) * (measured - average);
   OutcomeDelta& delta = outcomes.untold[server];
   (is_short ? delta.failed : delta.served) += 1;
   return !is_short;
 }
 
-void NoteFailure(FlowOutcomes& outcomes, ServerIndex server) {
+void RecordFailure(FlowOutcomes& outcomes, ServerIndex server) {
   outcomes.untold[server].failed += 1;
 }
 
--- a/Source/Forwarding/FlowOutcomes.h
+++ b/Source/Forwarding/FlowOutcomes.h
@@ -7,32 +7,33 @@
 #include "Forwarding/RouteTable.h"
 #include "Placement/Placement.h"
 
-/// How flows went, as far as their callers' packets show it.
+/// Passive health checks: outcomes of flows, inferred from callers' packets.
 ///
-/// A flow has failed when its answer is far shorter than usual for its address
-/// (an error is shorter than what was asked for), when its caller gives up, or
-/// when it lasts far longer than the latency objective. Plain state; not thread
+/// A flow counts as failed when its answer is far shorter than the average for
+/// its address (error responses are short), when the caller resets it, or when
+/// it takes much longer than the latency objective. Plain state; not thread
 /// safe.
 namespace filbertwall {
 
-/// Flows of one server since they were last told.
+/// Flow outcomes of one server since the last report.
 struct OutcomeDelta {
   std::uint32_t served = 0;
   std::uint32_t failed = 0;
 };
 
 struct FlowOutcomes {
+  /// Outcomes that have not been reported yet.
   std::map<ServerIndex, OutcomeDelta> untold;
-  /// Moving average of the answers' bytes, by address.
-  std::unordered_map<RouteKey, double> usual_length;
+  /// Moving average of the answer length in bytes, by address.
+  std::unordered_map<RouteKey, double> average_length;
 };
 
-/// A flow has ended in order, after an answer of `length` bytes. False when the
-/// answer is so short that it is taken for an error.
-bool NoteAnswer(FlowOutcomes& outcomes, RouteKey address, ServerIndex server,
-                std::uint32_t length);
+/// Records a flow that was closed normally after an answer of `length` bytes.
+/// Returns false when the answer is so short that it counts as an error.
+bool RecordAnswer(FlowOutcomes& outcomes, RouteKey address, ServerIndex server,
+                  std::uint32_t length);
 
-/// A flow was given up, or is late.
-void NoteFailure(FlowOutcomes& outcomes, ServerIndex server);
+/// Records a flow that its caller reset or that took too long.
+void RecordFailure(FlowOutcomes& outcomes, ServerIndex server);
 
 }  // namespace filbertwall
--- a/Source/Forwarding/FlowPacket.h
+++ b/Source/Forwarding/FlowPacket.h
@@ -6,10 +6,10 @@
 #include "Base/Endpoint.h"
 #include "Base/Time.h"
 
-/// Packets of callers, as an adapter has read them. Plain values.
+/// Packets from callers, as parsed by a packet adapter. Plain values.
 namespace filbertwall {
 
-/// The two ends of a flow as its caller sees them.
+/// The caller's endpoint and the service address that identify a flow.
 struct FlowKey {
   Endpoint caller;
   Endpoint address;
@@ -20,21 +20,21 @@
   std::size_t operator()(const FlowKey& key) const;
 };
 
-/// What a packet from a caller says to the forwarder.
+/// The fields of a caller's packet that the forwarder uses.
 struct FlowPacket {
   FlowKey key;
-  bool opens = false;        ///< The first packet of a flow, or a copy of it.
-  bool closes = false;       ///< The caller sends nothing after it.
+  bool opens = false;        ///< Opening packet (SYN), or a retransmission.
+  bool closes = false;       ///< The last packet that the caller sends.
   bool aborts = false;       ///< The caller has reset the flow.
-  std::uint32_t copies = 0;  ///< Of an opening packet, sent before this one.
-  std::uint32_t token = 0;
-  /// Of a later packet: its caller has received the answer up to this sequence
-  /// number, which starts anywhere and wraps.
+  std::uint32_t copies = 0;  ///< Earlier sends of this opening packet.
+  std::uint32_t token = 0;   ///< Identifies the flow's server.
+  /// Acknowledgement number of a later packet: the caller has received the
+  /// answer up to this sequence number, which starts anywhere and wraps.
   std::uint32_t received = 0;
-  /// Of an opening packet: its caller sends the next copy, or gives up, after
-  /// this time without an answer.
+  /// Time after which the caller retransmits an unanswered opening packet, or
+  /// gives up.
   Milliseconds repeat_after{0};
-  Milliseconds repeated_for{0};  ///< Since its caller sent the first copy.
+  Milliseconds repeated_for{0};  ///< Since the first copy was sent.
 };
 
 }  // namespace filbertwall
--- a/Source/Forwarding/Forwarder.cc
+++ b/Source/Forwarding/Forwarder.cc
@@ -7,17 +7,18 @@
 namespace filbertwall {
 namespace {
 
-/// Flows are kept this long beyond the time limit of their requests.
+/// Flows are tracked this much longer than the route's request timeout.
 constexpr Milliseconds kExpiryMargin{500};
 
-/// Flows end later than their objective when servers are busy; much later ones
-/// show a server that does not answer.
-constexpr int kObjectivesUntilLate = 2;
+/// A busy server exceeds the latency objective moderately. A flow that takes
+/// this many times the objective indicates a server that does not answer.
+constexpr int kObjectivesUntilFailed = 2;
 
-/// When a flow that has not ended counts as failed.
-Milliseconds LateAfter(const RouteEntry& route) {
+/// Returns the time after which an open flow counts as failed.
+Milliseconds FailureTimeout(const RouteEntry& route) {
   const bool has_objective = route.objective.count() > 0;
-  return has_objective ? route.objective * kObjectivesUntilLate : route.timeout;
+  return has_objective ? route.objective * kObjectivesUntilFailed
+                       : route.timeout;
 }
 
 Decision Drop(ForwardReason reason) {
@@ -28,46 +29,50 @@
   return Decision{.verdict = Verdict::kReset, .reason = reason};
 }
 
-void Remember(Forwarder& forwarder, const FlowPacket& packet,
-              ServerIndex server, const RouteEntry& route, TimePoint now) {
+void TrackFlow(Forwarder& forwarder, const FlowPacket& packet,
+               ServerIndex server, const RouteEntry& route, TimePoint now) {
   if (forwarder.flows.size() >= forwarder.flow_limit) {
     return;
   }
   const TimePoint expires_at = now + route.timeout + kExpiryMargin;
-  const TimePoint due_at = std::min(now + LateAfter(route), expires_at);
+  const TimePoint fails_at = std::min(now + FailureTimeout(route), expires_at);
   forwarder.flows[packet.key] =
       OpenFlow{.server = server,
                .service = forwarder.placement.servers[server].service,
                .opened_at = now,
-               .due_at = due_at,
+               .fails_at = fails_at,
                .expires_at = expires_at,
                .objective = route.objective};
-  forwarder.expiries.emplace(due_at, packet.key);
+  forwarder.timers.emplace(fails_at, packet.key);
   NoteOpening(forwarder.placement.servers[server], now);
 }
 
-/// Whether a new flow is refused for load. Copies never are: a server may have
-/// accepted the flow by then.
-bool IsRefused(Forwarder& forwarder, const FlowPacket& packet,
-               const RouteEntry& route, ServiceIndex service, TimePoint now) {
-  const bool judged = forwarder.refuses_overload && packet.copies == 0 &&
-                      route.objective.count() > 0;
-  return judged && !Admit(forwarder.admission,
-                          AdmissionRequest{
-                              .service = service,
+/// Whether a new flow is refused for overload. Retransmitted opening packets
+/// never are, because a server may have accepted the flow already.
+bool IsRefusedForLoad(Forwarder& forwarder, const FlowPacket& packet,
+                      const RouteEntry& route, ServiceIndex service,
+                      TimePoint now) {
+  const bool subject_to_admission = forwarder.refuses_overload &&
+                                    packet.copies == 0 &&
+                                    route.objective.count() > 0;
+  return subject_to_admission &&
+         !Admit(
+             forwarder.admission,
+             AdmissionRequest{.service = service,
                               .caller = packet.key.caller.ip,
                               .repeatable = route.kind != wire::REQUEST_UNSAFE},
-                          now);
+             now);
 }
 
-/// A flow that its server had accepted is no longer in flight there.
-void NoteGone(Forwarder& forwarder, const OpenFlow& flow) {
+/// Removes a flow that its server had accepted from the in-flight count.
+void RemoveFromAdmission(Forwarder& forwarder, const OpenFlow& flow) {
   if (flow.answered && !flow.overdue) {
     NoteLeft(forwarder.admission, flow.service);
   }
 }
 
-Decision Open(Forwarder& forwarder, const FlowPacket& packet, TimePoint now) {
+Decision HandleOpening(Forwarder& forwarder, const FlowPacket& packet,
+                       TimePoint now) {
   const auto route = forwarder.routes.routes.find(KeyOf(packet.key.address));
   if (route == forwarder.routes.routes.end()) {
     forwarder.counters.no_route += 1;
@@ -77,7 +82,7 @@
   const auto known = forwarder.flows.find(packet.key);
   if (known != forwarder.flows.end()) {
     if (known->second.answered) {
-      // A late copy: the flow is open at this server already.
+      // A late retransmission: this server has accepted the flow already.
       return Decision{.verdict = Verdict::kForward,
                       .reason = ForwardReason::kToken,
                       .server = known->second.server};
@@ -88,7 +93,7 @@
   }
   const ServiceIndex service =
       ServiceOf(route->second, FlowKeyHash()(packet.key));
-  if (IsRefused(forwarder, packet, route->second, service, now)) {
+  if (IsRefusedForLoad(forwarder, packet, route->second, service, now)) {
     forwarder.counters.overload += 1;
     return Reset(ForwardReason::kOverload);
   }
@@ -100,7 +105,7 @@
     forwarder.counters.no_server += 1;
     return Reset(ForwardReason::kNoServer);
   }
-  Remember(forwarder, packet, *server, route->second, now);
+  TrackFlow(forwarder, packet, *server, route->second, now);
   forwarder.counters.placed += 1;
   forwarder.counters.placed_again += except ? 1 : 0;
   return Decision{
@@ -109,23 +114,25 @@
       .server = *server};
 }
 
-/// How far the answer has arrived. Numbers wrap, and packets may overtake each
-/// other; a wide step shows that two servers have answered the opening.
-void NoteReceived(OpenFlow& flow, std::uint32_t received) {
-  constexpr std::int32_t kWidestStep = 1 << 20;
+/// Updates how far the answer has arrived. Sequence numbers wrap, and packets
+/// may be reordered. A large step means that two servers have answered the
+/// opening packet, so the answer's length can't be computed.
+void UpdateAckNumber(OpenFlow& flow, std::uint32_t received) {
+  constexpr std::int32_t kMaxStep = 1 << 20;
   const auto step = static_cast<std::int32_t>(received - flow.received);
-  if (step > kWidestStep || step < -kWidestStep) {
-    flow.length_known = false;
+  if (step > kMaxStep || step < -kMaxStep) {
+    flow.length_valid = false;
   } else if (step > 0) {
     flow.received = received;
   }
 }
 
-/// Tells the admission how long a flow took. One that is far too late shows a
-/// path that was cut, or a server that fails, and no queue.
-void NoteInTime(Forwarder& forwarder, const OpenFlow& flow, bool whole,
-                TimePoint now) {
-  if (whole && flow.answered && !flow.overdue && flow.objective.count() > 0) {
+/// Reports the duration of a flow to admission control. Overdue flows are left
+/// out: they indicate a broken path or a failing server, not queueing.
+void RecordDuration(Forwarder& forwarder, const OpenFlow& flow, bool succeeded,
+                    TimePoint now) {
+  if (succeeded && flow.answered && !flow.overdue &&
+      flow.objective.count() > 0) {
     NoteServed(forwarder.admission,
                forwarder.placement.servers[flow.server].service,
                std::chrono::duration_cast<Milliseconds>(now - flow.opened_at),
@@ -133,8 +140,10 @@
   }
 }
 
-/// Keeps the counts of placement right with what a later packet shows.
-void NotePacket(Forwarder& forwarder, const FlowPacket& packet, TimePoint now) {
+/// Updates a tracked flow, and the counts of placement, admission and outcomes,
+/// from a packet after the opening one.
+void TrackPacket(Forwarder& forwarder, const FlowPacket& packet,
+                 TimePoint now) {
   const auto known = forwarder.flows.find(packet.key);
   if (known == forwarder.flows.end()) {
     return;
@@ -142,28 +151,28 @@
   OpenFlow& flow = known->second;
   if (!flow.answered && !packet.aborts) {
     flow.answered = true;
-    flow.received_at_first = packet.received;
+    flow.first_ack_number = packet.received;
     flow.received = packet.received;
     forwarder.first_answer.Add(
         std::chrono::duration_cast<Microseconds>(now - flow.opened_at));
     NoteAnswered(forwarder.placement, flow.server, now);
     NoteBegun(forwarder.admission, flow.service);
   }
-  NoteReceived(flow, packet.received);
+  UpdateAckNumber(flow, packet.received);
   if (packet.closes || packet.aborts) {
     std::optional<Milliseconds> duration;
     if (packet.closes) {
       duration = std::chrono::duration_cast<Milliseconds>(now - flow.opened_at);
     }
     NoteEnded(forwarder.placement, flow.server, flow.answered, duration, now);
-    NoteGone(forwarder, flow);
-    if (packet.closes && flow.length_known) {
-      const bool whole =
-          NoteAnswer(forwarder.outcomes, KeyOf(packet.key.address), flow.server,
-                     flow.received - flow.received_at_first);
-      NoteInTime(forwarder, flow, whole, now);
+    RemoveFromAdmission(forwarder, flow);
+    if (packet.closes && flow.length_valid) {
+      const bool succeeded =
+          RecordAnswer(forwarder.outcomes, KeyOf(packet.key.address),
+                       flow.server, flow.received - flow.first_ack_number);
+      RecordDuration(forwarder, flow, succeeded, now);
     } else if (packet.aborts && flow.answered && !flow.overdue) {
-      NoteFailure(forwarder.outcomes, flow.server);
+      RecordFailure(forwarder.outcomes, flow.server);
     }
     forwarder.flows.erase(known);
   }
@@ -178,12 +187,12 @@
     return Drop(ForwardReason::kStale);
   }
   if (packet.opens) {
-    return forwarder.serving ? Open(forwarder, packet, now)
+    return forwarder.serving ? HandleOpening(forwarder, packet, now)
                              : Decision{.verdict = Verdict::kHold,
                                         .reason = ForwardReason::kNotServing};
   }
   ForgetOpening(forwarder.held, packet.key);
-  NotePacket(forwarder, packet, now);
+  TrackPacket(forwarder, packet, now);
   if (forwarder.routes.dropped.contains(KeyOf(packet.key.address))) {
     forwarder.counters.no_route += 1;
     return Reset(ForwardReason::kRouteDropped);
@@ -200,22 +209,21 @@
 }
 
 void ExpireFlows(Forwarder& forwarder, TimePoint now) {
-  while (!forwarder.expiries.empty() &&
-         forwarder.expiries.begin()->first <= now) {
-    const FlowKey key = forwarder.expiries.begin()->second;
-    forwarder.expiries.erase(forwarder.expiries.begin());
+  while (!forwarder.timers.empty() && forwarder.timers.begin()->first <= now) {
+    const FlowKey key = forwarder.timers.begin()->second;
+    forwarder.timers.erase(forwarder.timers.begin());
     const auto found = forwarder.flows.find(key);
-    if (found == forwarder.flows.end() || found->second.due_at > now) {
-      continue;  // It has ended, or a later flow has its place.
+    if (found == forwarder.flows.end() || found->second.fails_at > now) {
+      continue;  // The flow has ended, or a later flow has the same key.
     }
     OpenFlow& flow = found->second;
     if (flow.answered && !flow.overdue) {
-      NoteGone(forwarder, flow);
+      RemoveFromAdmission(forwarder, flow);
       flow.overdue = true;
-      NoteFailure(forwarder.outcomes, flow.server);
+      RecordFailure(forwarder.outcomes, flow.server);
     }
     if (flow.expires_at > now) {
-      forwarder.expiries.emplace(flow.expires_at, key);
+      forwarder.timers.emplace(flow.expires_at, key);
       continue;
     }
     NoteEnded(forwarder.placement, flow.server, flow.answered, std::nullopt,
--- a/Source/Forwarding/Forwarder.h
+++ b/Source/Forwarding/Forwarder.h
@@ -15,54 +15,55 @@
 #include "Forwarding/RouteTable.h"
 #include "Placement/Placement.h"
 
-/// Forwarding by a token that each packet carries.
+/// Stateless forwarding by a token that each packet carries.
 ///
-/// The first packet of a flow chooses the backend server. Server and caller
-/// then repeat the token in each packet, so every instance can forward any
-/// later packet without a record of the flow. What is kept of flows here
-/// serves placement only, and may be lost. Not thread safe.
+/// The backend server is chosen when the first packet of a flow arrives. Server
+/// and caller then include the server's token in each packet, so every instance
+/// can forward any later packet without a record of the flow. The flow table
+/// here only feeds placement, admission and outcome counts, and may be lost.
+/// Not thread safe.
 namespace filbertwall {
 
 enum class Verdict {
   kForward,
   kReset,
   kDrop,
-  kHold,  ///< Keep the packet until this instance serves, by `HoldOpening`.
+  kHold,  ///< Store with `HoldOpening` until this instance serves.
 };
 
-/// Why a packet was not forwarded, or where a new flow goes.
+/// Why a packet was forwarded, dropped or reset.
 enum class ForwardReason {
   kToken,         ///< Forwarded by its token.
   kPlaced,        ///< A new flow was placed.
-  kPlacedAgain,   ///< Its first server did not answer.
-  kNoRoute,       ///< No rule for the address.
-  kRouteDropped,  ///< The rules in force have dropped the address.
-  kUnknownToken,  ///< No server with this token is known.
-  kNoServer,      ///< The service has no server that may take it.
-  kOverload,      ///< Its answer would come too late.
-  kNotServing,    ///< This instance does not know the newest rules yet.
-  kStale,         ///< It waited while this instance stood still.
+  kPlacedAgain,   ///< Placed again: the first server did not answer.
+  kNoRoute,       ///< No route for the address.
+  kRouteDropped,  ///< The route of the address was removed.
+  kUnknownToken,  ///< No known server has this token.
+  kNoServer,      ///< The service has no usable server.
+  kOverload,      ///< The answer would miss the latency objective.
+  kNotServing,    ///< This instance has not loaded the newest rules yet.
+  kStale,         ///< Queued while this instance was paused.
 };
 
 struct Decision {
   Verdict verdict = Verdict::kDrop;
   ForwardReason reason = ForwardReason::kNoRoute;
-  ServerIndex server = 0;  ///< With kForward.
+  ServerIndex server = 0;  ///< Valid with kForward.
 };
 
 /// A flow that was opened through this instance and has not ended.
 struct OpenFlow {
   ServerIndex server = 0;
-  ServiceIndex service = 0;  ///< The server's, when the flow was opened.
+  ServiceIndex service = 0;  ///< Service of the server at the time of opening.
   TimePoint opened_at;
-  TimePoint due_at;  ///< Not ended by then, it counts as failed.
+  TimePoint fails_at;  ///< The flow counts as failed if open after that.
   TimePoint expires_at;
-  std::uint32_t received_at_first = 0;  ///< Before the answer.
-  std::uint32_t received = 0;           ///< The furthest so far.
-  bool length_known = true;   ///< Its sequence numbers are of one answer.
+  std::uint32_t first_ack_number = 0;  ///< Before any of the answer.
+  std::uint32_t received = 0;          ///< Highest so far.
+  bool length_valid = true;   ///< False once two servers have answered.
   bool answered = false;      ///< The server has accepted the flow.
-  bool overdue = false;       ///< It did not end by `due_at`.
-  Milliseconds objective{0};  ///< 0: none.
+  bool overdue = false;       ///< Still open at `fails_at`.
+  Milliseconds objective{0};  ///< Latency objective; 0: none.
 };
 
 struct ForwarderCounters {
@@ -80,26 +81,28 @@
   Placement placement;
   RouteTable routes;
   bool serving = false;
-  /// Opening packets are dropped until then: they waited while this instance
-  /// stood still, and their callers have opened the flow elsewhere since.
+  /// Opening packets are dropped until then, after this instance was paused:
+  /// they were queued meanwhile, and their callers have since opened the flow
+  /// through another instance.
   TimePoint discard_openings_until;
-  HeldOpenings held;  ///< While this instance does not serve yet.
-  std::size_t flow_limit = 100000;
+  HeldOpenings held;                ///< Stored until this instance serves.
+  std::size_t flow_limit = 100000;  ///< Flows beyond it are not tracked.
   std::unordered_map<FlowKey, OpenFlow, FlowKeyHash> flows;
-  /// Flows by the time at which they are looked at again.
-  std::multimap<TimePoint, FlowKey> expiries;
+  /// Flows by their next `fails_at` or `expires_at`.
+  std::multimap<TimePoint, FlowKey> timers;
   FlowOutcomes outcomes;
   Admission admission;
   bool refuses_overload = true;
   ForwarderCounters counters;
-  Histogram first_answer;  ///< From an opening packet to its follow-up.
+  Histogram first_answer;  ///< Opening packet to the next packet.
 };
 
-/// Decides on one packet. Precondition: `now` never goes back.
+/// Decides what to do with a packet. Precondition: `now` never decreases.
 Decision DecidePacket(Forwarder& forwarder, const FlowPacket& packet,
                       TimePoint now);
 
-/// Ends what is kept of flows whose time is over.
+/// Marks flows that are past `fails_at` as failed, and removes flows that are
+/// past `expires_at`.
 void ExpireFlows(Forwarder& forwarder, TimePoint now);
 
 }  // namespace filbertwall
--- a/Source/Forwarding/HeldOpenings.cc
+++ b/Source/Forwarding/HeldOpenings.cc
@@ -5,24 +5,26 @@
 namespace filbertwall {
 namespace {
 
-constexpr std::size_t kMostOpenings = 5000;
-/// A packet that is released must arrive before the next copy of it.
-constexpr Milliseconds kTravelTime{20};
-/// Callers that have waited no longer than this may still be served in time.
-constexpr Milliseconds kBriefWait{100};
-/// As long as packets were held, so that the servers' load at most doubles.
-constexpr Milliseconds kReleaseTime{400};
+/// Limit on stored packets.
+constexpr std::size_t kMaxOpenings = 5000;
+/// A released packet must arrive before the caller's next retransmission.
+constexpr Milliseconds kNetworkDelay{20};
+/// Callers that have waited at most this long may still be served in time.
+constexpr Milliseconds kShortWait{100};
+/// About as long as packets are stored while an instance starts, so that the
+/// release at most doubles the servers' load.
+constexpr Milliseconds kReleaseDuration{400};
 constexpr Milliseconds kReleaseInterval{20};
 
-/// Whether the first is released before the second, at `now`.
-bool ComesFirst(const HeldOpening& left, const HeldOpening& right,
-                TimePoint now) {
-  const bool left_brief = now - left.first_sent_at <= kBriefWait;
-  const bool right_brief = now - right.first_sent_at <= kBriefWait;
-  if (left_brief != right_brief) {
-    return left_brief;
+/// Whether `left` is released before `right`, at `now`.
+bool IsReleasedBefore(const HeldOpening& left, const HeldOpening& right,
+                      TimePoint now) {
+  const bool left_is_short = now - left.first_sent_at <= kShortWait;
+  const bool right_is_short = now - right.first_sent_at <= kShortWait;
+  if (left_is_short != right_is_short) {
+    return left_is_short;
   }
-  return left.until > right.until;
+  return left.expires_at > right.expires_at;
 }
 
 }  // namespace
@@ -30,8 +32,8 @@
 bool HoldOpening(HeldOpenings& held, const FlowPacket& packet,
                  std::span<const std::uint8_t> bytes, TimePoint now) {
   const bool known = held.openings.contains(packet.key);
-  if (packet.repeat_after <= kTravelTime ||
-      (!known && held.openings.size() >= kMostOpenings)) {
+  if (packet.repeat_after <= kNetworkDelay ||
+      (!known && held.openings.size() >= kMaxOpenings)) {
     held.lapsed += 1;
     return false;
   }
@@ -39,7 +41,7 @@
       HeldOpening{.key = packet.key,
                   .bytes = {bytes.begin(), bytes.end()},
                   .first_sent_at = now - packet.repeated_for,
-                  .until = now + packet.repeat_after - kTravelTime};
+                  .expires_at = now + packet.repeat_after - kNetworkDelay};
   return true;
 }
 
@@ -56,9 +58,9 @@
   held.openings.clear();
   std::sort(held.queue.begin(), held.queue.end(),
             [now](const HeldOpening& left, const HeldOpening& right) {
-              return ComesFirst(left, right, now);
+              return IsReleasedBefore(left, right, now);
             });
-  constexpr std::size_t kSteps = kReleaseTime / kReleaseInterval;
+  constexpr std::size_t kSteps = kReleaseDuration / kReleaseInterval;
   held.batch = (held.queue.size() + kSteps - 1) / kSteps;
   held.release_at = held.queue.empty() ? TimePoint::max() : now;
 }
@@ -69,7 +71,7 @@
     return due;
   }
   while (due.size() < held.batch && !held.queue.empty()) {
-    if (now < held.queue.front().until) {
+    if (now < held.queue.front().expires_at) {
       due.push_back(std::move(held.queue.front()));
     } else {
       held.lapsed += 1;
--- a/Source/Forwarding/HeldOpenings.h
+++ b/Source/Forwarding/HeldOpenings.h
@@ -9,50 +9,52 @@
 #include "Base/Time.h"
 #include "Forwarding/FlowPacket.h"
 
-/// Opening packets that wait while an instance that has just started learns the
-/// rules.
+/// Stores opening packets while a starting instance loads the rules.
 ///
-/// After a stop of everything, callers keep sending opening packets, each again
-/// after a growing pause. One that arrives before the rules are known would be
-/// lost, and its caller would wait for the rest of that pause. It is kept
-/// instead, and only until the caller sends it again: by then it may have been
-/// answered through another instance. Once the instance serves, the packets go
-/// out over some time, since servers that have just been found again could not
-/// queue them all. Plain state; not thread safe.
+/// After a full outage, callers retransmit opening packets with a growing
+/// backoff. If a packet that arrives before the rules are loaded were dropped,
+/// its caller would wait for the rest of the backoff. The packet is therefore
+/// stored, but only until the caller retransmits it, because the retransmission
+/// may be answered through another instance. Once the instance serves, the
+/// packets are released in batches, since servers that have only just become
+/// known again could not queue all of them at once. Plain state; not thread
+/// safe.
 namespace filbertwall {
 
 struct HeldOpening {
   FlowKey key;
   std::vector<std::uint8_t> bytes;
-  TimePoint first_sent_at;  ///< When its caller sent the first copy.
-  TimePoint until;          ///< Its caller repeats it then, or gives up.
+  TimePoint first_sent_at;  ///< When the caller sent the first copy.
+  TimePoint expires_at;     ///< Last time at which a release is useful.
 };
 
 struct HeldOpenings {
   std::unordered_map<FlowKey, HeldOpening, FlowKeyHash> openings;
-  /// Once the instance serves: what is left, in the order of its release.
+  /// Packets still to be released, in order; filled by `StartRelease`.
   std::deque<HeldOpening> queue;
-  std::size_t batch = 0;  ///< Released at a time.
+  std::size_t batch = 0;  ///< Packets released per interval.
   TimePoint release_at = TimePoint::max();
-  std::uint64_t released = 0;  ///< Packets that were given out again.
-  std::uint64_t lapsed = 0;    ///< Packets that were not kept, or for too long.
+  std::uint64_t released = 0;  ///< Packets that were released.
+  std::uint64_t lapsed = 0;    ///< Packets that were not stored, or expired.
 };
 
-/// Keeps a packet in place of an earlier copy. False when it can't be kept: its
-/// caller repeats it at once, or too many wait. Precondition: it opens a flow.
+/// Stores a packet, replacing an earlier copy. Returns false when the caller
+/// retransmits too soon for storing to help, or when the limit is reached.
+/// Precondition: the packet opens a flow.
 bool HoldOpening(HeldOpenings& held, const FlowPacket& packet,
                  std::span<const std::uint8_t> bytes, TimePoint now);
 
-/// Forgets the packet of a flow that went on through another instance.
+/// Discards the packet of a flow that was opened through another instance.
 void ForgetOpening(HeldOpenings& held, const FlowKey& key);
 
-/// Begins to give the packets out: first those whose callers have waited so
-/// briefly that they may still be served in time, then those whose callers
-/// would wait longest until the next copy.
+/// Starts the release. Packets whose callers have waited so briefly that they
+/// may still be served in time come first; then those whose callers would wait
+/// longest until their next retransmission.
 void StartRelease(HeldOpenings& held, TimePoint now);
 
-/// Takes out the packets that are due at `now`; those whose callers have
-/// repeated them are left out. `release_at` says when the next are due.
+/// Removes and returns the next batch if it is due at `now`, without packets
+/// that their callers have retransmitted since. Sets `release_at` to the time
+/// of the next batch.
 std::vector<HeldOpening> ReleaseDue(HeldOpenings& held, TimePoint now);
 
 }  // namespace filbertwall
--- a/Source/Forwarding/RouteTable.cc
+++ b/Source/Forwarding/RouteTable.cc
@@ -23,14 +23,14 @@
 
 bool ApplyRoutes(RouteTable& table, const wire::RoutesUpdate& update,
                  Placement& placement) {
-  const bool whole = update.base_version() == 0;
+  const bool is_full_update = update.base_version() == 0;
   if (update.version() <= table.version ||
-      (!whole && update.base_version() != table.version)) {
+      (!is_full_update && update.base_version() != table.version)) {
     return false;
   }
-  std::unordered_map<RouteKey, RouteEntry> before;
-  if (whole) {
-    before.swap(table.routes);
+  std::unordered_map<RouteKey, RouteEntry> previous;
+  if (is_full_update) {
+    previous.swap(table.routes);
   }
   for (const wire::Route& route : update.set()) {
     const RouteKey key = KeyOf(Endpoint{
@@ -38,7 +38,7 @@
     table.routes[key] = MakeEntry(route, placement);
     table.dropped.erase(key);
   }
-  for (const auto& [key, entry] : before) {
+  for (const auto& [key, entry] : previous) {
     if (!table.routes.contains(key)) {
       table.dropped[key] = update.version();
     }
--- a/Source/Forwarding/RouteTable.h
+++ b/Source/Forwarding/RouteTable.h
@@ -9,16 +9,17 @@
 #include "Placement/Placement.h"
 #include "Wire/distribution.pb.h"
 
-/// The addresses that flows may be opened to, for look-ups on the packet path.
+/// Routes by service address, for look-ups on the packet path.
 namespace filbertwall {
 
-/// An address as one number, the key of a route.
+/// A service address packed into an integer: IP address and port.
 using RouteKey = std::uint64_t;
 
 inline RouteKey KeyOf(const Endpoint& address) {
   return static_cast<RouteKey>(address.ip) << 16U | address.port;
 }
 
+/// A weighted part of a route's flows.
 struct ServiceShare {
   ServiceIndex service = 0;
   std::uint32_t weight = 1;
@@ -36,17 +37,19 @@
 struct RouteTable {
   std::uint64_t version = 0;
   std::unordered_map<RouteKey, RouteEntry> routes;
-  /// Addresses that were dropped by a version in force here.
+  /// Removed addresses, with the rules version that removed each.
   std::unordered_map<RouteKey, std::uint64_t> dropped;
 };
 
-/// Puts an update in force. False when it does not fit the version in force:
-/// older, or a difference to another version. Names of services are interned
-/// into `placement`.
+/// Applies an update. Returns false, without any change, when the update is not
+/// newer than the current version, or is a delta against another version.
+/// Service names are interned into `placement`.
 bool ApplyRoutes(RouteTable& table, const wire::RoutesUpdate& update,
                  Placement& placement);
 
-/// The service of a new flow; the same for each copy of its opening packet.
+/// Returns the service of a new flow, by the weights of the route's shares. All
+/// copies of an opening packet get the same service. Precondition: the route
+/// has a share with a weight above zero.
 ServiceIndex ServiceOf(const RouteEntry& route, std::uint64_t flow_hash);
 
 }  // namespace filbertwall
--- a/Tests/Forwarding/ForwarderTest.cc
+++ b/Tests/Forwarding/ForwarderTest.cc
@@ -41,14 +41,14 @@
   return update;
 }
 
-FlowPacket Opening(std::uint16_t port, std::uint32_t copies = 0) {
+FlowPacket OpeningPacket(std::uint16_t port, std::uint32_t copies = 0) {
   return FlowPacket{
       .key = {.caller = {.ip = 7, .port = port}, .address = kAddress},
       .opens = true,
       .copies = copies};
 }
 
-FlowPacket Later(std::uint16_t port, std::uint32_t token) {
+FlowPacket LaterPacket(std::uint16_t port, std::uint32_t token) {
   return FlowPacket{
       .key = {.caller = {.ip = 7, .port = port}, .address = kAddress},
       .token = token};
@@ -85,20 +85,20 @@
 };
 
 TEST(Forwarder, LaterPacketsFollowTheTokenAtAnyInstance) {
-  const Decision opened = this->Decide(Opening(1));
+  const Decision opened = this->Decide(OpeningPacket(1));
   CHECK(opened.verdict == Verdict::kForward);
   const std::uint32_t token = this->At(opened.server).token;
-  Forwarder other;  // It has just started and holds no flow.
+  Forwarder other;  // An instance without any record of the flow.
   UpdateServer(other.placement, MakeRecord("a2", 2, "proof"), kStart);
   UpdateServer(other.placement, MakeRecord("a1", 1, "proof"), kStart);
   RefreshUsable(other.placement);
-  const Decision later = DecidePacket(other, Later(1, token), kStart);
+  const Decision later = DecidePacket(other, LaterPacket(1, token), kStart);
   CHECK(later.verdict == Verdict::kForward);
   CHECK(other.placement.servers[later.server].token == token);
 }
 
-TEST(Forwarder, FlowsStayWithAServerThatLeaves) {
-  const Decision opened = this->Decide(Opening(1));
+TEST(Forwarder, FlowsStayWithADrainingServer) {
+  const Decision opened = this->Decide(OpeningPacket(1));
   const std::uint32_t token = this->At(opened.server).token;
   wire::ServerRecord record = MakeRecord(
       this->At(opened.server).id, this->At(opened.server).address.ip, "proof");
@@ -107,36 +107,36 @@
     record.set_phase(phase);
     UpdateServer(this->forwarder.placement, record, kStart);
     RefreshUsable(this->forwarder.placement);
-    const Decision later = this->Decide(Later(1, token));
+    const Decision later = this->Decide(LaterPacket(1, token));
     CHECK(later.verdict == Verdict::kForward);
     CHECK(later.server == opened.server);
   }
 }
 
 TEST(Forwarder, FlowsStayThroughNewRules) {
-  const Decision opened = this->Decide(Opening(1));
+  const Decision opened = this->Decide(OpeningPacket(1));
   const std::uint32_t token = this->At(opened.server).token;
   this->Add("c1", 9, "catalogue");
   CHECK(ApplyRoutes(this->forwarder.routes, MakeRoutes(4, 9, "catalogue"),
                     this->forwarder.placement));
-  CHECK(this->Decide(Later(1, token)).server == opened.server);
-  const Decision fresh = this->Decide(Opening(2));
+  CHECK(this->Decide(LaterPacket(1, token)).server == opened.server);
+  const Decision fresh = this->Decide(OpeningPacket(2));
   STRCMP_EQUAL("c1", this->At(fresh.server).id.c_str());
 }
 
-TEST(Forwarder, DroppedRoutesEndTheirFlows) {
-  const Decision opened = this->Decide(Opening(1));
+TEST(Forwarder, RemovedRoutesResetTheirFlows) {
+  const Decision opened = this->Decide(OpeningPacket(1));
   const std::uint32_t token = this->At(opened.server).token;
   wire::RoutesUpdate update;
   update.set_base_version(4);
   update.set_version(5);
   update.add_removed(KeyOf(kAddress));
   CHECK(ApplyRoutes(this->forwarder.routes, update, this->forwarder.placement));
-  CHECK(this->Decide(Later(1, token)).verdict == Verdict::kReset);
-  CHECK(this->Decide(Opening(2)).verdict == Verdict::kReset);
+  CHECK(this->Decide(LaterPacket(1, token)).verdict == Verdict::kReset);
+  CHECK(this->Decide(OpeningPacket(2)).verdict == Verdict::kReset);
 }
 
-TEST(Forwarder, OlderRulesAreNeverObeyed) {
+TEST(Forwarder, OlderRulesAreRejected) {
   CHECK_FALSE(ApplyRoutes(this->forwarder.routes, MakeRoutes(0, 4, "other"),
                           this->forwarder.placement));
   CHECK_FALSE(ApplyRoutes(this->forwarder.routes, MakeRoutes(0, 3, "other"),
@@ -146,32 +146,33 @@
   CHECK_EQUAL(4, this->forwarder.routes.version);
 }
 
-TEST(Forwarder, ACopyOfAnOpeningPacketGoesElsewhere) {
-  const Decision first = this->Decide(Opening(1));
+TEST(Forwarder, ARetransmittedOpeningPacketGoesToAnotherServer) {
+  const Decision first = this->Decide(OpeningPacket(1));
   const Decision second =
-      this->Decide(Opening(1, 1), kStart + Milliseconds(200));
+      this->Decide(OpeningPacket(1, 1), kStart + Milliseconds(200));
   CHECK(second.reason == ForwardReason::kPlacedAgain);
   CHECK(second.server != first.server);
   LONGS_EQUAL(0, this->At(first.server).in_flight);
   LONGS_EQUAL(1, this->At(second.server).in_flight);
 }
 
-TEST(Forwarder, ALateCopyStaysWithTheServerThatAnswered) {
-  const Decision first = this->Decide(Opening(1));
-  this->Decide(Later(1, this->At(first.server).token),
+TEST(Forwarder, ALateRetransmissionStaysWithTheServerThatAnswered) {
+  const Decision first = this->Decide(OpeningPacket(1));
+  this->Decide(LaterPacket(1, this->At(first.server).token),
                kStart + Milliseconds(5));
-  const Decision copy = this->Decide(Opening(1, 1), kStart + Milliseconds(200));
+  const Decision copy =
+      this->Decide(OpeningPacket(1, 1), kStart + Milliseconds(200));
   CHECK(copy.server == first.server);
   LONGS_EQUAL(1, this->At(first.server).in_flight);
 }
 
 TEST(Forwarder, EndedAndExpiredFlowsAreNoLongerCounted) {
-  const Decision first = this->Decide(Opening(1));
-  FlowPacket last = Later(1, this->At(first.server).token);
+  const Decision first = this->Decide(OpeningPacket(1));
+  FlowPacket last = LaterPacket(1, this->At(first.server).token);
   last.closes = true;
   this->Decide(last, kStart + Milliseconds(30));
   LONGS_EQUAL(0, this->At(first.server).in_flight);
-  const Decision second = this->Decide(Opening(2));
+  const Decision second = this->Decide(OpeningPacket(2));
   LONGS_EQUAL(1, this->At(second.server).in_flight);
   ExpireFlows(this->forwarder, kStart + std::chrono::seconds(2));
   LONGS_EQUAL(0, this->At(second.server).in_flight);
@@ -179,15 +180,15 @@
 }
 
 TEST(Forwarder, UnknownTokensAndAddressesReachNoServer) {
-  CHECK(this->Decide(Later(1, 0xdead)).verdict == Verdict::kDrop);
-  FlowPacket opening = Opening(1);
+  CHECK(this->Decide(LaterPacket(1, 0xdead)).verdict == Verdict::kDrop);
+  FlowPacket opening = OpeningPacket(1);
   opening.key.address.port = 1;
   CHECK(this->Decide(opening).verdict == Verdict::kReset);
 }
 
-TEST(Forwarder, NothingIsOpenedBeforeTheRulesAreConfirmed) {
+TEST(Forwarder, NoFlowIsOpenedBeforeTheInstanceServes) {
   this->forwarder.serving = false;
-  const Decision decision = this->Decide(Opening(1));
+  const Decision decision = this->Decide(OpeningPacket(1));
   CHECK(decision.verdict == Verdict::kHold);
   CHECK(decision.reason == ForwardReason::kNotServing);
   LONGS_EQUAL(0, this->forwarder.flows.size());
@@ -197,18 +198,19 @@
   HeldOpenings held;
   std::vector<std::uint8_t> bytes = {1, 2, 3};
 
-  /// The schedule of the users' callers: 0, 200, 600, and the end at 1,400 ms.
+  /// The callers' retransmission schedule: sends at 0, 200 and 600 ms, and
+  /// gives up at 1,400 ms.
   bool Hold(std::uint16_t port, std::uint32_t copies, TimePoint now = kStart) {
     constexpr std::array<Milliseconds, 4> kSchedule = {
         Milliseconds(0), Milliseconds(200), Milliseconds(600),
         Milliseconds(1400)};
-    FlowPacket packet = Opening(port, copies);
+    FlowPacket packet = OpeningPacket(port, copies);
     packet.repeated_for = kSchedule[copies];
     packet.repeat_after = kSchedule[copies + 1] - kSchedule[copies];
     return HoldOpening(this->held, packet, this->bytes, now);
   }
 
-  /// Releases all over time; gives when each port's packet went out.
+  /// Releases all packets; returns the release time by the caller's port.
   std::map<std::uint16_t, TimePoint> ReleaseAll(TimePoint start) {
     std::map<std::uint16_t, TimePoint> sent;
     StartRelease(this->held, start);
@@ -233,7 +235,7 @@
   CHECK_EQUAL(1, this->held.released);
 }
 
-TEST(HeldOpenings, NoPacketIsReleasedOnceItsCallerHasRepeatedIt) {
+TEST(HeldOpenings, NoPacketIsReleasedAfterItsRetransmission) {
   CHECK(this->Hold(1, 0));
   CHECK(this->Hold(2, 2));
   const auto sent = this->ReleaseAll(kStart + Milliseconds(200));
@@ -242,29 +244,29 @@
   CHECK_EQUAL(1, this->held.lapsed);
 }
 
-TEST(HeldOpenings, ALaterCopyTakesThePlaceOfAnEarlierOne) {
+TEST(HeldOpenings, ALaterCopyReplacesAnEarlierOne) {
   CHECK(this->Hold(1, 0));
   CHECK(this->Hold(1, 1, kStart + Milliseconds(200)));
   LONGS_EQUAL(1, this->ReleaseAll(kStart + Milliseconds(500)).size());
 }
 
-TEST(HeldOpenings, FlowsThatWentOnElsewhereAreForgotten) {
+TEST(HeldOpenings, PacketsOfFlowsOpenedElsewhereAreDiscarded) {
   CHECK(this->Hold(1, 2));
   CHECK(this->Hold(2, 2));
   Forwarder forwarder;
   forwarder.held = this->held;
-  DecidePacket(forwarder, Later(1, 7), kStart);
+  DecidePacket(forwarder, LaterPacket(1, 7), kStart);
   StartRelease(forwarder.held, kStart);
-  DecidePacket(forwarder, Later(2, 7), kStart);
+  DecidePacket(forwarder, LaterPacket(2, 7), kStart);
   CHECK(ReleaseDue(forwarder.held, kStart).empty());
 }
 
-TEST(HeldOpenings, PacketsWithoutAScheduleAreNotKept) {
-  CHECK_FALSE(HoldOpening(this->held, Opening(1), this->bytes, kStart));
+TEST(HeldOpenings, PacketsWithoutAScheduleAreNotStored) {
+  CHECK_FALSE(HoldOpening(this->held, OpeningPacket(1), this->bytes, kStart));
   CHECK_EQUAL(1, this->held.lapsed);
 }
 
-TEST(HeldOpenings, CallersThatMayBeServedInTimeComeFirst) {
+TEST(HeldOpenings, CallersThatMayBeServedInTimeAreReleasedFirst) {
   CHECK(this->Hold(1, 2));
   CHECK(this->Hold(2, 1));
   CHECK(this->Hold(3, 0, kStart + Milliseconds(50)));
@@ -273,11 +275,12 @@
   CHECK(sent.at(1) < sent.at(2));
 }
 
-/// The load that holding answers: every instance was stopped for 1.4 s, then
-/// learns the rules 400 ms after its start, while 100 callers a second open
-/// flows and repeat their packets. Those whose last copy came before it served
-/// would wait up to 800 ms for their next attempt.
-TEST(HeldOpenings, CallersThatWaitedAreAnsweredSoonAndNotAllAtOnce) {
+/// Guards against callers that wait up to 800 ms for their next attempt, and
+/// against a burst of released packets. All instances are down for 1.4 s and
+/// load the rules 400 ms after their start, while 100 callers per second open
+/// flows. Callers whose last copy arrives before the instance serves depend on
+/// the stored packet.
+TEST(HeldOpenings, StoredPacketsAreReleasedSoonInSmallBatches) {
   constexpr Milliseconds kOutage{1400};
   constexpr Milliseconds kStartup{400};
   constexpr Milliseconds kBetweenCallers{10};
@@ -311,35 +314,35 @@
   }
 }
 
-TEST(Forwarder, AServiceWithoutServersIsRefusedAtOnce) {
+TEST(Forwarder, FlowsOfAServiceWithoutServersAreReset) {
   CHECK(ApplyRoutes(this->forwarder.routes, MakeRoutes(0, 8, "nobody"),
                     this->forwarder.placement));
-  const Decision decision = this->Decide(Opening(1));
+  const Decision decision = this->Decide(OpeningPacket(1));
   CHECK(decision.verdict == Verdict::kReset);
   CHECK(decision.reason == ForwardReason::kNoServer);
 }
 
-TEST(Forwarder, NewFlowsAreRefusedForLoadAndCopiesAndOpenFlowsNever) {
+TEST(Forwarder, OverloadRefusesOnlyNewFlows) {
   wire::RoutesUpdate routes = MakeRoutes(0, 9, "proof");
   routes.mutable_set(0)->set_objective_ms(100);
   routes.mutable_set(0)->set_kind(wire::REQUEST_SAFE);
   ApplyRoutes(this->forwarder.routes, routes, this->forwarder.placement);
   TimePoint now = kStart;
   const auto open = [&](std::uint16_t port) {
-    return DecidePacket(this->forwarder, Opening(port), now);
+    return DecidePacket(this->forwarder, OpeningPacket(port), now);
   };
   const std::uint32_t token =
       this->forwarder.placement.servers[open(1).server].token;
-  DecidePacket(this->forwarder, Later(1, token), now);
-  // Each flow takes half as long again as it may.
+  DecidePacket(this->forwarder, LaterPacket(1, token), now);
+  // Each flow takes 1.5 times the latency objective.
   for (std::uint16_t port = 100; port < 140; ++port) {
     if (open(port).verdict != Verdict::kForward) {
       break;
     }
-    FlowPacket first = Later(port, token);
+    FlowPacket first = LaterPacket(port, token);
     DecidePacket(this->forwarder, first, now);
     now += Milliseconds(150);
-    FlowPacket last = Later(port, token);
+    FlowPacket last = LaterPacket(port, token);
     last.closes = true;
     last.received = 1000;
     DecidePacket(this->forwarder, last, now);
@@ -347,32 +350,32 @@
   const Decision refused = open(500);
   CHECK(refused.verdict == Verdict::kReset);
   CHECK(refused.reason == ForwardReason::kOverload);
-  CHECK(DecidePacket(this->forwarder, Opening(501, 1), now).verdict ==
+  CHECK(DecidePacket(this->forwarder, OpeningPacket(501, 1), now).verdict ==
         Verdict::kForward);
-  CHECK(DecidePacket(this->forwarder, Later(1, token), now).verdict ==
+  CHECK(DecidePacket(this->forwarder, LaterPacket(1, token), now).verdict ==
         Verdict::kForward);
   this->forwarder.refuses_overload = false;
   CHECK(open(502).verdict == Verdict::kForward);
 }
 
-TEST(Forwarder, FlowsAreCountedOutWhereTheyWereCountedIn) {
-  const Decision opened = this->Decide(Opening(1));
+TEST(Forwarder, AFlowEndIsCountedForTheServiceOfItsOpening) {
+  const Decision opened = this->Decide(OpeningPacket(1));
   const PlacedServer server = this->At(opened.server);
-  this->Decide(Later(1, server.token));
+  this->Decide(LaterPacket(1, server.token));
   LONGS_EQUAL(1,
               this->forwarder.admission.services.at(server.service).in_flight);
-  // The same server under another service, as after a restart.
+  // The same server restarts with another service.
   wire::ServerRecord record = MakeRecord(server.id, 1, "catalogue");
   record.set_incarnation(2);
   UpdateServer(this->forwarder.placement, record, kStart);
-  FlowPacket last = Later(1, server.token);
+  FlowPacket last = LaterPacket(1, server.token);
   last.closes = true;
   this->Decide(last);
   LONGS_EQUAL(0,
               this->forwarder.admission.services.at(server.service).in_flight);
 }
 
-TEST(Forwarder, SharesAreKeptByWeight) {
+TEST(Forwarder, FlowsAreSplitByWeight) {
   wire::RoutesUpdate update = MakeRoutes(0, 8, "proof");
   update.mutable_set(0)->mutable_shares(0)->set_weight(9);
   wire::RouteShare& other = *update.mutable_set(0)->add_shares();
@@ -382,7 +385,7 @@
   CHECK(ApplyRoutes(this->forwarder.routes, update, this->forwarder.placement));
   int elsewhere = 0;
   for (std::uint16_t port = 1; port <= 2000; ++port) {
-    const Decision decision = this->Decide(Opening(port));
+    const Decision decision = this->Decide(OpeningPacket(port));
     elsewhere += this->At(decision.server).id == "c1" ? 1 : 0;
   }
   CHECK(elsewhere > 120);
@@ -390,57 +393,57 @@
 }
 
 TEST_GROUP_BASE(FlowOutcomes, TEST_GROUP_CppUTestGroupForwarder){
-    /// Plays a flow whose answer has `length` bytes; gives its server.
-    ServerIndex Play(std::uint16_t port, std::uint32_t length,
-                     TimePoint now = kStart){
-        const Decision decision = this->Decide(Opening(port), now);
+    /// Runs a flow whose answer has `length` bytes; returns its server.
+    ServerIndex RunFlow(std::uint16_t port, std::uint32_t length,
+                        TimePoint now = kStart){
+        const Decision decision = this->Decide(OpeningPacket(port), now);
 const std::uint32_t token = this->At(decision.server).token;
-FlowPacket first = Later(port, token);
+FlowPacket first = LaterPacket(port, token);
 first.received = 0xFFFFFF00;  // Sequence numbers wrap.
 this->Decide(first, now + Milliseconds(2));
-FlowPacket last = Later(port, token);
+FlowPacket last = LaterPacket(port, token);
 last.received = first.received + length;
 last.closes = true;
 this->Decide(last, now + Milliseconds(40));
 return decision.server;
 }
 
-OutcomeDelta Untold(ServerIndex server) {
+OutcomeDelta Unreported(ServerIndex server) {
   return this->forwarder.outcomes.untold[server];
 }
 }
 ;
 
-TEST(FlowOutcomes, AnAnswerFarShorterThanUsualIsAFailure) {
+TEST(FlowOutcomes, AnAnswerFarShorterThanAverageIsAFailure) {
   for (std::uint16_t port = 1; port <= 40; ++port) {
-    this->Play(port, 400 + 40U * port);
+    this->RunFlow(port, 400 + 40U * port);
   }
   this->forwarder.outcomes.untold.clear();
-  const ServerIndex well = this->Play(100, 700);
-  CHECK_EQUAL(1, this->Untold(well).served);
+  const ServerIndex healthy = this->RunFlow(100, 700);
+  CHECK_EQUAL(1, this->Unreported(healthy).served);
   this->forwarder.outcomes.untold.clear();
-  const ServerIndex failing = this->Play(101, 179);
-  CHECK_EQUAL(1, this->Untold(failing).failed);
-  CHECK_EQUAL(0, this->Untold(failing).served);
+  const ServerIndex failing = this->RunFlow(101, 179);
+  CHECK_EQUAL(1, this->Unreported(failing).failed);
+  CHECK_EQUAL(0, this->Unreported(failing).served);
 }
 
-TEST(FlowOutcomes, NumbersOfTwoServersOrOutOfOrderMakeNoLength) {
+TEST(FlowOutcomes, AnswersOfTwoServersOrReorderedPacketsAreNoFailure) {
   for (std::uint16_t port = 1; port <= 40; ++port) {
-    this->Play(port, 1000);
+    this->RunFlow(port, 1000);
   }
   this->forwarder.outcomes.untold.clear();
-  // The caller went on with the answer of another server, whose numbers differ.
-  this->Play(100, 0xC0000000);
-  this->Play(101, 0x70000000);
-  CHECK(this->forwarder.outcomes.usual_length.begin()->second < 2000);
-  // The last packet overtook one that had received more.
-  const Decision decision = this->Decide(Opening(102));
+  // Another server answered as healthy, with different sequence numbers.
+  this->RunFlow(100, 0xC0000000);
+  this->RunFlow(101, 0x70000000);
+  CHECK(this->forwarder.outcomes.average_length.begin()->second < 2000);
+  // The last packet is delivered before one with a higher number.
+  const Decision decision = this->Decide(OpeningPacket(102));
   const std::uint32_t token = this->At(decision.server).token;
-  this->Decide(Later(102, token));
-  FlowPacket whole = Later(102, token);
+  this->Decide(LaterPacket(102, token));
+  FlowPacket whole = LaterPacket(102, token);
   whole.received = 1000;
   this->Decide(whole);
-  FlowPacket last = Later(102, token);
+  FlowPacket last = LaterPacket(102, token);
   last.received = 42;
   last.closes = true;
   this->Decide(last);
@@ -449,33 +452,33 @@
   }
 }
 
-TEST(FlowOutcomes, AFlowThatDoesNotEndInTimeIsAFailureOnce) {
+TEST(FlowOutcomes, AnOverdueFlowIsOneFailure) {
   wire::RoutesUpdate update = MakeRoutes(0, 8, "proof");
   update.mutable_set(0)->set_objective_ms(250);
   CHECK(ApplyRoutes(this->forwarder.routes, update, this->forwarder.placement));
-  const Decision decision = this->Decide(Opening(1));
-  this->Decide(Later(1, this->At(decision.server).token));
+  const Decision decision = this->Decide(OpeningPacket(1));
+  this->Decide(LaterPacket(1, this->At(decision.server).token));
   ExpireFlows(this->forwarder, kStart + Milliseconds(499));
-  CHECK_EQUAL(0, this->Untold(decision.server).failed);
+  CHECK_EQUAL(0, this->Unreported(decision.server).failed);
   ExpireFlows(this->forwarder, kStart + Milliseconds(500));
-  CHECK_EQUAL(1, this->Untold(decision.server).failed);
+  CHECK_EQUAL(1, this->Unreported(decision.server).failed);
   ExpireFlows(this->forwarder, kStart + Milliseconds(5000));
-  CHECK_EQUAL(1, this->Untold(decision.server).failed);
+  CHECK_EQUAL(1, this->Unreported(decision.server).failed);
   CHECK(this->forwarder.flows.empty());
 }
 
-TEST(FlowOutcomes, ACallerThatGivesUpIsAFailure) {
-  const Decision decision = this->Decide(Opening(1));
+TEST(FlowOutcomes, AResetByTheCallerIsAFailure) {
+  const Decision decision = this->Decide(OpeningPacket(1));
   const std::uint32_t token = this->At(decision.server).token;
-  this->Decide(Later(1, token));
-  FlowPacket reset = Later(1, token);
+  this->Decide(LaterPacket(1, token));
+  FlowPacket reset = LaterPacket(1, token);
   reset.aborts = true;
   this->Decide(reset);
-  CHECK_EQUAL(1, this->Untold(decision.server).failed);
+  CHECK_EQUAL(1, this->Unreported(decision.server).failed);
 }
 
-TEST(FlowOutcomes, AFlowThatNoServerAcceptedIsNoFailureOfItsRequests) {
-  const Decision decision = this->Decide(Opening(1));
+TEST(FlowOutcomes, AnUnansweredOpeningPacketIsNoFailure) {
+  const Decision decision = this->Decide(OpeningPacket(1));
   ExpireFlows(this->forwarder, kStart + std::chrono::seconds(5));
-  CHECK_EQUAL(0, this->Untold(decision.server).failed);
+  CHECK_EQUAL(0, this->Unreported(decision.server).failed);
 }
