--- a/Source/Flows/FlowChoice.cc
+++ b/Source/Flows/FlowChoice.cc
@@ -5,14 +5,14 @@
 #include "Base/Hash.h"
 #include "Flows/FlowTier.h"
 
-/// Choices by hash: the owner of a flow, and the backend server of a new one.
+/// Hash-based selection of a flow's owner and of a new flow's backend server.
 namespace filbertwall {
 namespace {
 
-/// Weighted rendezvous hashing: the candidate with the highest score wins, and
-/// a change of one weight moves only the flows that it must.
-double Score(std::uint64_t flow_hash, const Endpoint& backend,
-             std::uint32_t weight) {
+/// Weighted rendezvous hashing: the candidate with the highest score is chosen.
+/// A change of one weight moves the minimum number of flows.
+double RendezvousScore(std::uint64_t flow_hash, const Endpoint& backend,
+                       std::uint32_t weight) {
   const std::uint64_t identity =
       static_cast<std::uint64_t>(backend.ip) << 16 | backend.port;
   const std::uint64_t hash = MixHash(flow_hash, identity);
@@ -25,14 +25,15 @@
   const auto index = tier.backend_index.find(backend);
   const std::uint64_t flows = index == tier.backend_index.end()
                                   ? 0
-                                  : tier.flows_of_backend[index->second];
+                                  : tier.flows_per_backend[index->second];
   return static_cast<double>(flows) / std::max(weight, 1U);
 }
 
-/// As many as are asked about a flow that its owner does not know.
-constexpr std::size_t kMostOwners = 16;
+/// Limit on the owners returned, and so on the instances that are queried about
+/// a flow that its owner does not know.
+constexpr std::size_t kMaxOwners = 16;
 
-/// The two best candidates of a flow.
+/// The two candidates with the highest scores for a flow.
 struct BestTwo {
   const Backend* first = nullptr;
   const Backend* second = nullptr;
@@ -45,8 +46,9 @@
   double first_score = -std::numeric_limits<double>::infinity();
   double second_score = first_score;
   for (const Backend* backend : candidates) {
-    const double score = Score(flow_hash, backend->address,
-                               WeightOf(rules, service, backend->address));
+    const double score =
+        RendezvousScore(flow_hash, backend->address,
+                        WeightOf(rules, service, backend->address));
     if (score > first_score) {
       best.second = best.first;
       second_score = first_score;
@@ -73,7 +75,7 @@
       ranked.emplace_back(MixHash(hash, instance), instance);
     }
   }
-  const std::size_t kept = std::min(ranked.size(), kMostOwners);
+  const std::size_t kept = std::min(ranked.size(), kMaxOwners);
   std::partial_sort(ranked.begin(),
                     ranked.begin() + static_cast<std::ptrdiff_t>(kept),
                     ranked.end(), std::greater<>());
--- a/Source/Flows/FlowOwner.cc
+++ b/Source/Flows/FlowOwner.cc
@@ -3,13 +3,15 @@
 #include "Base/Hash.h"
 #include "Flows/FlowTurn.h"
 
-/// The owner's part: opening flows, asking others, telling others.
+/// The owner's tasks: opening flows, querying other instances, and replication.
 namespace filbertwall {
 namespace {
 
-constexpr Milliseconds kAnswerLimit{100};
-constexpr std::size_t kMostPending = 4096;
-constexpr std::uint8_t kMessageMark = 0xFB;  // No Geneve version starts so.
+/// Time to wait for other instances' replies.
+constexpr Milliseconds kQueryTimeout{100};
+constexpr std::size_t kMaxPending = 4096;
+// Geneve packets of version 0 never start with this byte.
+constexpr std::uint8_t kMessageMagic = 0xFB;
 constexpr int kRecordsPerMessage = 30;
 
 std::uint32_t BackendIndex(FlowTier& tier, const Endpoint& backend) {
@@ -17,7 +19,7 @@
       backend, static_cast<std::uint32_t>(tier.backends.size()));
   if (added) {
     tier.backends.push_back(backend);
-    tier.flows_of_backend.push_back(0);
+    tier.flows_per_backend.push_back(0);
   }
   return item->second;
 }
@@ -31,13 +33,14 @@
   return item->second;
 }
 
-/// Frees a place by ending the oldest flow of which only a SYN was seen.
-bool EvictUnproven(FlowTurn& turn) {
+/// Makes room by removing the oldest half-open flow, of which only a SYN was
+/// seen. Returns false when there is none.
+bool EvictHalfOpen(FlowTurn& turn) {
   FlowTier& tier = turn.tier;
-  while (!tier.unproven.empty()) {
-    FlowEntry* entry = FindFlow(tier.table, tier.unproven.front());
-    tier.unproven.pop_front();
-    if (entry != nullptr && (entry->flags & kFlowProven) == 0) {
+  while (!tier.half_open.empty()) {
+    FlowEntry* entry = FindFlow(tier.table, tier.half_open.front());
+    tier.half_open.pop_front();
+    if (entry != nullptr && (entry->flags & kFlowEstablished) == 0) {
       Count(turn, "unproven_evicted");
       DropFlow(turn, entry);
       return true;
@@ -46,12 +49,13 @@
   return false;
 }
 
-/// Null when the table is full of open flows, which win over new ones.
+/// Adds a flow. Returns null when the table is full of established flows, which
+/// take precedence over new ones.
 FlowEntry* AddFlow(FlowTurn& turn, const FlowKey& key,
                    const std::string& service, const Endpoint& backend,
-                   bool proven) {
+                   bool established) {
   FlowTier& tier = turn.tier;
-  if (tier.table.size >= tier.limit && !EvictUnproven(turn)) {
+  if (tier.table.size >= tier.limit && !EvictHalfOpen(turn)) {
     Count(turn, "table_full");
     return nullptr;
   }
@@ -61,11 +65,11 @@
   entry.last_seen = turn.now_seconds;
   entry.generation =
       static_cast<std::uint16_t>(turn.context.directory.generation);
-  tier.flows_of_backend[entry.backend] += 1;
-  if (proven) {
-    entry.flags = kFlowProven;
+  tier.flows_per_backend[entry.backend] += 1;
+  if (established) {
+    entry.flags = kFlowEstablished;
   } else {
-    tier.unproven.push_back(key);
+    tier.half_open.push_back(key);
   }
   return &entry;
 }
@@ -78,37 +82,37 @@
       {.index = packet.index, .to = turn.tier.backends[entry.backend]});
 }
 
-/// Opens a flow as its owner, and has the next in rank hold it too.
-void OpenFlow(FlowTurn& turn, const UnknownPacket& packet,
-              std::uint32_t backup) {
+/// Opens a flow on its owner and replicates it to the backup, if not 0.
+void OpenAsOwner(FlowTurn& turn, const UnknownPacket& packet,
+                 std::uint32_t backup) {
   const auto backend =
       ChooseForFlow(turn.tier, turn.context, *packet.service, packet.info.key);
   if (!backend) {
     Count(turn, "no_backend");
     return;
   }
-  const bool proven = !packet.info.tcp;
-  const FlowEntry* entry =
-      AddFlow(turn, packet.info.key, packet.service->name, *backend, proven);
+  const bool established = !packet.info.tcp;
+  const FlowEntry* entry = AddFlow(turn, packet.info.key, packet.service->name,
+                                   *backend, established);
   if (entry == nullptr) {
     return;
   }
   Count(turn, "opened");
   Forward(turn, packet, *entry);
   if (backup != 0) {
-    TellFlow(turn, backup, *entry);
+    QueueFlowRecord(turn, backup, *entry);
   }
-  if (packet.handed_by != 0 && packet.handed_by != backup) {
-    TellFlow(turn, packet.handed_by, *entry);
+  if (packet.relayed_by != 0 && packet.relayed_by != backup) {
+    QueueFlowRecord(turn, packet.relayed_by, *entry);
   }
 }
 
-/// Asks all others for a flow that someone else must have opened.
-void AskOthers(FlowTurn& turn, const UnknownPacket& packet,
-               const std::vector<std::uint32_t>& owners) {
+/// Queries the other instances about a flow that one of them must have opened.
+void QueryOtherInstances(FlowTurn& turn, const UnknownPacket& packet,
+                         const std::vector<std::uint32_t>& owners) {
   FlowTier& tier = turn.tier;
   if (tier.pending.contains(packet.info.key) ||
-      tier.pending.size() >= kMostPending) {
+      tier.pending.size() >= kMaxPending) {
     Count(turn, "dropped_while_asking");
     return;
   }
@@ -116,8 +120,8 @@
   pending.packet.assign(packet.datagram->bytes.begin(),
                         packet.datagram->bytes.end());
   pending.info = packet.info;
-  pending.handed_by = packet.handed_by;
-  pending.expires_at = turn.context.now + kAnswerLimit;
+  pending.relayed_by = packet.relayed_by;
+  pending.expires_at = turn.context.now + kQueryTimeout;
   for (const std::uint32_t instance : owners) {
     if (instance != tier.self) {
       pending.unanswered.insert(instance);
@@ -127,8 +131,9 @@
   Count(turn, "asked");
 }
 
-/// Sends a waiting packet on, by the record found or by the default choice.
-void EndPending(FlowTurn& turn, const FlowKey& key) {
+/// Forwards a waiting packet to the backend server that another instance
+/// reported, or, if none did, to the one that a new flow would get.
+void ResolvePending(FlowTurn& turn, const FlowKey& key) {
   const auto found = turn.tier.pending.find(key);
   if (found == turn.tier.pending.end()) {
     return;
@@ -162,23 +167,23 @@
   SetNetworkIdentifier(pending.packet, NetworkIdentifierOf(service.name));
   turn.effects.datagrams.push_back({.to = turn.tier.backends[entry->backend],
                                     .bytes = std::move(pending.packet)});
-  if (pending.handed_by != 0) {
-    TellFlow(turn, pending.handed_by, *entry);
+  if (pending.relayed_by != 0) {
+    QueueFlowRecord(turn, pending.relayed_by, *entry);
   }
 }
 
-void TakeRecord(FlowTurn& turn, std::uint32_t from,
-                const wire::FlowRecord& record) {
+void HandleFlowRecord(FlowTurn& turn, std::uint32_t from,
+                      const wire::FlowRecord& record) {
   const auto key = DecodeFlowKey(record.key());
   if (!key) {
     return;
   }
   const auto pending = turn.tier.pending.find(*key);
-  if (record.backend_port() == 0) {  // The other does not know it either.
+  if (record.backend_port() == 0) {  // The other instance has no entry either.
     if (pending != turn.tier.pending.end()) {
       pending->second.unanswered.erase(from);
       if (pending->second.unanswered.empty()) {
-        EndPending(turn, *key);
+        ResolvePending(turn, *key);
       }
     }
     return;
@@ -189,21 +194,21 @@
   FlowEntry* held = FindFlow(turn.tier.table, *key);
   if (held != nullptr) {
     held->last_seen = turn.now_seconds;
-    held->flags |= kFlowProven;
+    held->flags |= kFlowEstablished;
   } else {
     FlowEntry* entry = AddFlow(turn, *key, record.service(), backend, true);
     if (entry != nullptr) {
-      entry->generation -= 1;  // Validated before its first use.
+      entry->generation -= 1;  // Forces a check before the first use.
     }
   }
-  EndPending(turn, *key);
+  ResolvePending(turn, *key);
 }
 
-void AnswerWanted(FlowTurn& turn, std::uint32_t to, const std::string& bytes) {
+void AnswerQuery(FlowTurn& turn, std::uint32_t to, const std::string& bytes) {
   const auto key = DecodeFlowKey(bytes);
   const FlowEntry* entry = key ? FindFlow(turn.tier.table, *key) : nullptr;
   if (entry != nullptr) {
-    TellFlow(turn, to, *entry);
+    QueueFlowRecord(turn, to, *entry);
     return;
   }
   turn.messages[to].add_records()->set_key(bytes);
@@ -213,7 +218,7 @@
                     const wire::FlowMessage& message) {
   FlowDatagram datagram{.to = turn.tier.packet_addresses.at(to)};
   datagram.bytes.resize(1 + message.ByteSizeLong());
-  datagram.bytes[0] = kMessageMark;
+  datagram.bytes[0] = kMessageMagic;
   message.SerializeToArray(datagram.bytes.data() + 1,
                            static_cast<int>(datagram.bytes.size() - 1));
   turn.effects.datagrams.push_back(std::move(datagram));
@@ -224,31 +229,33 @@
 void HandleMiss(FlowTurn& turn, const UnknownPacket& packet) {
   const std::vector<std::uint32_t> owners =
       OwnersOf(turn.tier, turn.context.silent, packet.info.key);
-  // A packet that was handed here stays here, whatever this instance thinks
-  // of the others, so that two views can't pass it round and round.
-  const bool hand_on = packet.handed_by == 0 && owners[0] != turn.tier.self;
-  if (hand_on) {
+  // A relayed packet is never relayed again, even if this instance ranks
+  // another one as the owner, so that different views of the live instances
+  // can't cause a forwarding loop.
+  const bool relay_to_owner =
+      packet.relayed_by == 0 && owners[0] != turn.tier.self;
+  if (relay_to_owner) {
     Count(turn, "handed_to_owner");
     turn.effects.forwarded.push_back(
         {.index = packet.index,
          .to = turn.tier.packet_addresses.at(owners[0])});
     return;
   }
-  const bool opens = packet.info.syn || !packet.info.tcp;
+  const bool opens_flow = packet.info.syn || !packet.info.tcp;
   const bool alone = owners.size() == 1;
-  if (packet.info.syn || (opens && alone)) {
+  if (packet.info.syn || (opens_flow && alone)) {
     const auto backup =
         std::find_if(owners.begin(), owners.end(),
                      [&](std::uint32_t id) { return id != turn.tier.self; });
-    OpenFlow(turn, packet, backup == owners.end() ? 0 : *backup);
+    OpenAsOwner(turn, packet, backup == owners.end() ? 0 : *backup);
     return;
   }
   if (alone) {
     Count(turn, "adopted_unknown");
-    OpenFlow(turn, packet, 0);
+    OpenAsOwner(turn, packet, 0);
     return;
   }
-  AskOthers(turn, packet, owners);
+  QueryOtherInstances(turn, packet, owners);
 }
 
 void ExpirePending(FlowTurn& turn) {
@@ -259,7 +266,7 @@
     }
   }
   for (const FlowKey& key : expired) {
-    EndPending(turn, key);
+    ResolvePending(turn, key);
   }
 }
 
@@ -268,23 +275,23 @@
     if (entry.protocol == 0) {
       continue;
     }
-    TellOwners(turn, entry);
+    ReplicateToOwners(turn, entry);
   }
 }
 
-void TellOwners(FlowTurn& turn, const FlowEntry& entry) {
-  constexpr int kHolders = 2;  // the owner and the next in rank
-  int told = 0;
+void ReplicateToOwners(FlowTurn& turn, const FlowEntry& entry) {
+  constexpr int kReplicas = 2;  // The owner and the backup.
+  int replicas = 0;
   for (const std::uint32_t instance :
        OwnersOf(turn.tier, turn.context.silent, KeyOf(entry))) {
-    if (instance != turn.tier.self && told < kHolders) {
-      TellFlow(turn, instance, entry);
-      told += 1;
+    if (instance != turn.tier.self && replicas < kReplicas) {
+      QueueFlowRecord(turn, instance, entry);
+      replicas += 1;
     }
   }
 }
 
-void TellFlow(FlowTurn& turn, std::uint32_t to, const FlowEntry& entry) {
+void QueueFlowRecord(FlowTurn& turn, std::uint32_t to, const FlowEntry& entry) {
   wire::FlowRecord& record = *turn.messages[to].add_records();
   const Endpoint& backend = turn.tier.backends[entry.backend];
   record.set_key(EncodeFlowKey(KeyOf(entry)));
@@ -294,7 +301,7 @@
 }
 
 bool IsFlowMessage(std::span<const std::uint8_t> bytes) {
-  return !bytes.empty() && bytes[0] == kMessageMark;
+  return !bytes.empty() && bytes[0] == kMessageMagic;
 }
 
 void HandleFlowMessage(FlowTurn& turn, std::uint32_t from,
@@ -306,10 +313,10 @@
     return;
   }
   for (const wire::FlowRecord& record : message.records()) {
-    TakeRecord(turn, from, record);
+    HandleFlowRecord(turn, from, record);
   }
   for (const std::string& wanted : message.wanted()) {
-    AnswerWanted(turn, from, wanted);
+    AnswerQuery(turn, from, wanted);
   }
 }
 
--- a/Source/Flows/FlowTable.cc
+++ b/Source/Flows/FlowTable.cc
@@ -3,9 +3,9 @@
 namespace filbertwall {
 namespace {
 
-constexpr std::size_t kLeastSlots = 1024;
+constexpr std::size_t kMinSlots = 1024;
 
-std::size_t HomeOf(const FlowTable& table, const FlowKey& key) {
+std::size_t HomeSlot(const FlowTable& table, const FlowKey& key) {
   // Maps the upper half of the hash onto [0, slots) without a division.
   return static_cast<std::size_t>((HashFlow(key) >> 32) * table.slots.size() >>
                                   32);
@@ -23,35 +23,36 @@
          entry.protocol == key.protocol;
 }
 
-std::size_t FreeSlot(const FlowTable& table, const FlowKey& key) {
-  std::size_t slot = HomeOf(table, key);
+std::size_t FindFreeSlot(const FlowTable& table, const FlowKey& key) {
+  std::size_t slot = HomeSlot(table, key);
   while (table.slots[slot].protocol != 0) {
     slot = NextSlot(table, slot);
   }
   return slot;
 }
 
-/// Grows by half, so that memory stays near what the flows need.
+/// Grows by a factor of 1.5, which wastes less memory than doubling.
 void Grow(FlowTable& table) {
   FlowTable larger;
   larger.slots.resize(
-      std::max(kLeastSlots, table.slots.size() + table.slots.size() / 2));
+      std::max(kMinSlots, table.slots.size() + table.slots.size() / 2));
   larger.size = table.size;
   for (const FlowEntry& entry : table.slots) {
     if (entry.protocol != 0) {
-      larger.slots[FreeSlot(larger, KeyOf(entry))] = entry;
+      larger.slots[FindFreeSlot(larger, KeyOf(entry))] = entry;
     }
   }
   table = std::move(larger);
 }
 
 bool IsFull(const FlowTable& table) {
-  // At most 6 of 7 slots are taken.
+  // The load factor is at most 6/7.
   return 7 * (table.size + 1) > 6 * table.slots.size();
 }
 
-/// Whether an entry may move from `from` back to `to` and still be found.
-bool MayMove(const FlowTable& table, std::size_t home, std::size_t to,
+/// Whether an entry with the given home slot can move from `from` back to `to`
+/// and still be found by linear probing.
+bool CanMove(const FlowTable& table, std::size_t home, std::size_t to,
              std::size_t from) {
   const std::size_t slots = table.slots.size();
   const std::size_t distance_from = (from + slots - home) % slots;
@@ -72,7 +73,7 @@
   if (table.slots.empty()) {
     return nullptr;
   }
-  std::size_t slot = HomeOf(table, key);
+  std::size_t slot = HomeSlot(table, key);
   while (table.slots[slot].protocol != 0) {
     if (Matches(table.slots[slot], key)) {
       return &table.slots[slot];
@@ -86,7 +87,7 @@
   if (IsFull(table)) {
     Grow(table);
   }
-  FlowEntry& entry = table.slots[FreeSlot(table, key)];
+  FlowEntry& entry = table.slots[FindFreeSlot(table, key)];
   entry = FlowEntry{.source_ip = key.source.ip,
                     .destination_ip = key.destination.ip,
                     .source_port = key.source.port,
@@ -100,8 +101,8 @@
   std::size_t hole = static_cast<std::size_t>(entry - table.slots.data());
   std::size_t slot = NextSlot(table, hole);
   while (table.slots[slot].protocol != 0) {
-    const std::size_t home = HomeOf(table, KeyOf(table.slots[slot]));
-    if (MayMove(table, home, hole, slot)) {
+    const std::size_t home = HomeSlot(table, KeyOf(table.slots[slot]));
+    if (CanMove(table, home, hole, slot)) {
       table.slots[hole] = table.slots[slot];
       hole = slot;
     }
--- a/Source/Flows/FlowTable.h
+++ b/Source/Flows/FlowTable.h
@@ -5,10 +5,10 @@
 
 #include "Flows/Packet.h"
 
-/// A compact hash table of flows. Not thread safe.
+/// A compact hash table of flows with open addressing. Not thread safe.
 namespace filbertwall {
 
-/// One held flow: 32 bytes.
+/// A flow and its backend server: 32 bytes.
 struct FlowEntry {
   std::uint32_t source_ip = 0;
   std::uint32_t destination_ip = 0;
@@ -20,14 +20,17 @@
   std::uint32_t backend = 0;     ///< Index of a backend server's address.
   std::uint32_t last_seen = 0;   ///< Seconds on the instance's clock.
   std::uint32_t sequence = 0;    ///< Of the last TCP segment with data.
-  std::uint16_t generation = 0;  ///< Of the directory, when last validated.
-  std::uint16_t repeats = 0;     ///< Segments in a row without progress.
+  std::uint16_t generation = 0;  ///< Directory generation of the last check.
+  std::uint16_t repeats = 0;     ///< Consecutive retransmissions.
 };
 static_assert(sizeof(FlowEntry) == 32);
 
-inline constexpr std::uint8_t kFlowProven = 1;   ///< More than a SYN was seen.
-inline constexpr std::uint8_t kFlowClosing = 2;  ///< FIN or RST was seen.
-inline constexpr std::uint8_t kFlowSilent = 4;   ///< Counted as silent.
+/// More than a SYN was seen.
+inline constexpr std::uint8_t kFlowEstablished = 1;
+/// A FIN or RST was seen.
+inline constexpr std::uint8_t kFlowClosing = 2;
+/// Counted as silent (see `repeats`).
+inline constexpr std::uint8_t kFlowSilent = 4;
 
 struct FlowTable {
   std::vector<FlowEntry> slots;
@@ -36,14 +39,15 @@
 
 FlowKey KeyOf(const FlowEntry& entry);
 
-/// Null when the flow is not held. The pointer is valid until the next insert
-/// or erase.
+/// Returns null when the table has no entry for the flow. The pointer is valid
+/// until the next insertion or removal.
 FlowEntry* FindFlow(FlowTable& table, const FlowKey& key);
 
-/// Adds a free entry for the key. Precondition: the flow is not held.
+/// Adds an entry for the key. Precondition: the table has none for it. The
+/// reference is valid until the next insertion or removal.
 FlowEntry& InsertFlow(FlowTable& table, const FlowKey& key);
 
-/// Precondition: the entry belongs to the table.
+/// Removes an entry. Precondition: the entry belongs to the table.
 void EraseFlow(FlowTable& table, FlowEntry* entry);
 
 }  // namespace filbertwall
--- a/Source/Flows/FlowTier.cc
+++ b/Source/Flows/FlowTier.cc
@@ -7,14 +7,16 @@
 namespace filbertwall {
 namespace {
 
-constexpr std::uint32_t kUnprovenSeconds = 5;
-constexpr std::uint32_t kClosingSeconds = 10;
-constexpr std::uint32_t kIdleSeconds = 600;
-constexpr std::uint32_t kRefreshSeconds = 60;
-constexpr std::uint16_t kRepeatsUntilSilent = 4;
-constexpr std::size_t kSweepShare = 500;
-
-/// The rules' service of a destination; null when packets are not for it.
+constexpr std::uint32_t kHalfOpenTimeoutSeconds = 5;
+constexpr std::uint32_t kClosingTimeoutSeconds = 10;
+constexpr std::uint32_t kIdleTimeoutSeconds = 600;
+constexpr std::uint32_t kRefreshIntervalSeconds = 60;
+constexpr std::uint16_t kSilentAfterRepeats = 4;
+/// Ticks in which the whole table is swept.
+constexpr std::size_t kTicksPerSweep = 500;
+
+/// Returns the service of a destination; null when the rules have none, or when
+/// it does not use the packet protocol.
 const ServiceRule* ServiceOf(const FlowContext& context, const FlowKey& key) {
   const auto address = context.rules.addresses.find(key.destination);
   if (address == context.rules.addresses.end()) {
@@ -25,24 +27,25 @@
   return service.protocol == Protocol::kPackets ? &service : nullptr;
 }
 
-/// Whether those who must hold the flow should hear that it is still used. They
-/// may never see a packet of it themselves.
-bool WantsRefresh(const FlowTurn& turn, const FlowEntry& entry,
+/// Whether the flow's owners need a record that the flow is in use. They may
+/// never receive a packet of the flow themselves.
+bool NeedsRefresh(const FlowTurn& turn, const FlowEntry& entry,
                   const PacketInfo& info) {
-  const bool newly_proven = !info.syn && (entry.flags & kFlowProven) == 0;
-  const bool new_period =
-      turn.now_seconds / kRefreshSeconds != entry.last_seen / kRefreshSeconds;
-  return newly_proven || new_period;
+  const bool newly_established =
+      !info.syn && (entry.flags & kFlowEstablished) == 0;
+  const bool new_period = turn.now_seconds / kRefreshIntervalSeconds !=
+                          entry.last_seen / kRefreshIntervalSeconds;
+  return newly_established || new_period;
 }
 
-void NoteProgress(FlowTurn& turn, FlowEntry& entry, const PacketInfo& info) {
-  const bool refresh = WantsRefresh(turn, entry, info);
+void UpdateFlow(FlowTurn& turn, FlowEntry& entry, const PacketInfo& info) {
+  const bool refresh = NeedsRefresh(turn, entry, info);
   entry.last_seen = turn.now_seconds;
   if (!info.syn) {
-    entry.flags |= kFlowProven;
+    entry.flags |= kFlowEstablished;
   }
   if (refresh) {
-    TellOwners(turn, entry);
+    ReplicateToOwners(turn, entry);
   }
   if (info.fin) {
     entry.flags |= kFlowClosing;
@@ -52,7 +55,7 @@
   }
   entry.repeats = info.sequence == entry.sequence ? entry.repeats + 1 : 0;
   entry.sequence = info.sequence;
-  const bool silent = entry.repeats >= kRepeatsUntilSilent;
+  const bool silent = entry.repeats >= kSilentAfterRepeats;
   if (silent && (entry.flags & kFlowSilent) == 0) {
     entry.flags |= kFlowSilent;
     Count(turn, "silent");
@@ -62,7 +65,8 @@
   }
 }
 
-/// A held flow that may be used; drops it when its service has changed.
+/// Returns the flow's entry if it is valid. Removes an entry whose service has
+/// changed, or that a SYN reopens after a FIN or RST.
 FlowEntry* FindUsable(FlowTurn& turn, const PacketInfo& info,
                       const ServiceRule& service) {
   FlowEntry* entry = FindFlow(turn.tier.table, info.key);
@@ -85,10 +89,10 @@
 
 void HandleDatagram(FlowTurn& turn, std::size_t index, Datagram& datagram) {
   const auto sender = turn.tier.instances.find(datagram.from);
-  const std::uint32_t handed_by =
+  const std::uint32_t relayed_by =
       sender == turn.tier.instances.end() ? 0 : sender->second;
-  if (handed_by != 0 && IsFlowMessage(datagram.bytes)) {
-    HandleFlowMessage(turn, handed_by, datagram.bytes);
+  if (relayed_by != 0 && IsFlowMessage(datagram.bytes)) {
+    HandleFlowMessage(turn, relayed_by, datagram.bytes);
     return;
   }
   const auto info = ReadPacket(datagram.bytes);
@@ -103,12 +107,12 @@
   }
   FlowEntry* entry = FindUsable(turn, *info, *service);
   if (entry != nullptr) {
-    NoteProgress(turn, *entry, *info);
+    UpdateFlow(turn, *entry, *info);
     SetNetworkIdentifier(datagram.bytes, NetworkIdentifierOf(service->name));
     turn.effects.forwarded.push_back(
         {.index = index, .to = turn.tier.backends[entry->backend]});
-    if (handed_by != 0) {
-      TellFlow(turn, handed_by, *entry);
+    if (relayed_by != 0) {
+      QueueFlowRecord(turn, relayed_by, *entry);
     }
     return;
   }
@@ -116,29 +120,30 @@
                                  .datagram = &datagram,
                                  .info = *info,
                                  .service = service,
-                                 .handed_by = handed_by});
+                                 .relayed_by = relayed_by});
 }
 
-bool IsOver(const FlowTurn& turn, const FlowEntry& entry) {
+bool IsExpired(const FlowTurn& turn, const FlowEntry& entry) {
   const std::uint32_t idle = turn.now_seconds - entry.last_seen;
   if ((entry.flags & kFlowClosing) != 0) {
-    return idle > kClosingSeconds;
+    return idle > kClosingTimeoutSeconds;
   }
-  if ((entry.flags & kFlowProven) == 0) {
-    return idle > kUnprovenSeconds;
+  if ((entry.flags & kFlowEstablished) == 0) {
+    return idle > kHalfOpenTimeoutSeconds;
   }
-  return idle > kIdleSeconds;
+  return idle > kIdleTimeoutSeconds;
 }
 
-/// Looks at a share of the table, so that no tick takes long.
+/// Removes expired flows from a part of the table, to bound the time of a tick.
 void Sweep(FlowTurn& turn) {
   FlowTable& table = turn.tier.table;
-  std::size_t steps = table.slots.size() / kSweepShare + 1;
+  std::size_t steps = table.slots.size() / kTicksPerSweep + 1;
   while (steps > 0 && !table.slots.empty()) {
     steps -= 1;
-    turn.tier.sweep_at = (turn.tier.sweep_at + 1) % table.slots.size();
-    FlowEntry* entry = &table.slots[turn.tier.sweep_at];
-    if (entry->protocol != 0 && IsOver(turn, *entry)) {
+    turn.tier.sweep_position =
+        (turn.tier.sweep_position + 1) % table.slots.size();
+    FlowEntry* entry = &table.slots[turn.tier.sweep_position];
+    if (entry->protocol != 0 && IsExpired(turn, *entry)) {
       Count(turn, "ended");
       DropFlow(turn, entry);
     }
@@ -193,7 +198,7 @@
 }
 
 void DropFlow(FlowTurn& turn, FlowEntry* entry) {
-  turn.tier.flows_of_backend[entry->backend] -= 1;
+  turn.tier.flows_per_backend[entry->backend] -= 1;
   EraseFlow(turn.tier.table, entry);
 }
 
--- a/Source/Flows/FlowTier.h
+++ b/Source/Flows/FlowTier.h
@@ -16,12 +16,12 @@
 #include "Rules/Rules.h"
 #include "Wire/wire.pb.h"
 
-/// Decides where each packet goes.
+/// Connection tracking: chooses the backend server for each packet.
 ///
-/// Each flow has an owner among the live instances, by rendezvous hashing. A
-/// packet of a flow that an instance does not hold is handed to the owner,
-/// which answers with the flow's backend server. See docs/design/0005-flows.md.
-/// Not thread safe.
+/// Rendezvous hashing assigns each flow an owner among the live instances. An
+/// instance without an entry for a packet's flow relays the packet to the
+/// owner, which replies with the flow's backend server. See
+/// docs/design/0005-flows.md. Not thread safe.
 namespace filbertwall {
 
 struct Datagram {
@@ -29,55 +29,56 @@
   Endpoint from;
 };
 
-/// A packet that waits until the other instances have been asked about it.
+/// A packet of an unknown flow that waits for other instances' replies.
 struct PendingFlow {
   std::vector<std::uint8_t> packet;
   PacketInfo info;
-  std::uint32_t handed_by = 0;
-  std::set<std::uint32_t> unanswered;
+  std::uint32_t relayed_by = 0;        ///< Instance that relayed it; 0: none.
+  std::set<std::uint32_t> unanswered;  ///< Instances yet to reply.
   TimePoint expires_at;
 };
 
 struct FlowTier {
   std::uint32_t self = 0;
-  std::uint32_t limit = 1000000;
+  std::uint32_t limit = 1000000;  ///< Maximum number of flows.
   std::map<std::uint32_t, Endpoint> packet_addresses;  ///< Other instances.
   std::map<Endpoint, std::uint32_t> instances;         ///< The reverse.
   FlowTable table;
-  std::deque<FlowKey> unproven;  ///< Oldest first; may name flows gone since.
+  std::deque<FlowKey> half_open;  ///< Oldest first; may list removed flows.
   std::vector<Endpoint> backends;
   std::map<Endpoint, std::uint32_t> backend_index;
-  std::vector<std::uint64_t> flows_of_backend;  ///< By index.
+  std::vector<std::uint64_t> flows_per_backend;  ///< By index.
   std::vector<std::string> services;
   std::map<std::string, std::uint16_t> service_index;
   std::map<FlowKey, PendingFlow> pending;
-  std::size_t sweep_at = 0;
+  std::size_t sweep_position = 0;  ///< Slot that `FlowTick` checked last.
   std::map<std::string, std::uint64_t> counters;
 };
 
 struct FlowContext {
   const Rules& rules;
   const Directory& directory;
-  const std::set<std::uint32_t>& silent;  ///< Instances thought to be down.
-  bool stopping = false;
+  const std::set<std::uint32_t>& silent;  ///< Instances presumed down.
+  bool stopping = false;                  ///< Has no effect on flows.
   TimePoint now;
 };
 
-/// Packets that arrived together.
+/// A batch of received packets.
 struct PacketsArrived {
   std::vector<Datagram> datagrams;
 };
+/// Removes expired flows and ends queries that have timed out.
 struct FlowTick {};
-/// This instance is about to end; its flows go to those who carry on.
+/// This instance is about to stop; its flows are sent to the other instances.
 struct FlowHandover {};
 using FlowEvent = std::variant<PacketsArrived, FlowTick, FlowHandover>;
 
-/// Sends datagram number `index` of the event on, as it now is.
+/// Forwards datagram number `index` of the event, as modified by `Reduce`.
 struct ForwardedPacket {
   std::size_t index = 0;
   Endpoint to;
 };
-/// Sends bytes of its own.
+/// Sends a new datagram.
 struct FlowDatagram {
   Endpoint to;
   std::vector<std::uint8_t> bytes;
@@ -87,15 +88,18 @@
   std::vector<FlowDatagram> datagrams;
 };
 
+/// Handles one event: updates the state and returns the datagrams to send.
 FlowEffects Reduce(FlowTier& tier, const FlowEvent& event, FlowContext context);
 
-/// The first live instances in the order in which they own the flow; all of
-/// them in a deployment of today's size.
+/// Returns the live instances, including this one, ranked by their rendezvous
+/// hash for the flow: the owner first, then its backups. At most 16 are
+/// returned, which is all of them in a deployment of the present size.
 std::vector<std::uint32_t> OwnersOf(const FlowTier& tier,
                                     const std::set<std::uint32_t>& silent,
                                     const FlowKey& key);
 
-/// The backend server of a new flow; empty when there is none.
+/// Returns the backend server for a new flow; empty when no server is
+/// available.
 std::optional<Endpoint> ChooseForFlow(const FlowTier& tier,
                                       const FlowContext& context,
                                       const ServiceRule& service,
--- a/Source/Flows/Packet.cc
+++ b/Source/Flows/Packet.cc
@@ -9,12 +9,12 @@
 namespace filbertwall {
 namespace {
 
-constexpr std::size_t kGeneveBytes = 8;
+constexpr std::size_t kGeneveHeaderBytes = 8;
 constexpr std::uint16_t kProtocolIpv4 = 0x0800;
-constexpr std::size_t kLeastIpBytes = 20;
-constexpr std::size_t kLeastTcpBytes = 20;
-constexpr std::size_t kUdpBytes = 8;
-constexpr std::size_t kKeyBytes = 13;
+constexpr std::size_t kMinIpHeaderBytes = 20;
+constexpr std::size_t kMinTcpHeaderBytes = 20;
+constexpr std::size_t kUdpHeaderBytes = 8;
+constexpr std::size_t kFlowKeyBytes = 13;
 constexpr std::uint8_t kFlagFin = 0x01;
 constexpr std::uint8_t kFlagSyn = 0x02;
 constexpr std::uint8_t kFlagRst = 0x04;
@@ -31,13 +31,13 @@
          Read16(bytes, at + 2);
 }
 
-/// The inner IPv4 packet; empty when the outer header is malformed.
+/// Returns the inner IPv4 packet; empty when the Geneve header is malformed.
 Bytes InnerPacket(Bytes datagram) {
-  if (datagram.size() < kGeneveBytes) {
+  if (datagram.size() < kGeneveHeaderBytes) {
     return {};
   }
   const bool version_zero = (datagram[0] >> 6) == 0;
-  const std::size_t header = kGeneveBytes + 4UL * (datagram[0] & 0x3F);
+  const std::size_t header = kGeneveHeaderBytes + 4UL * (datagram[0] & 0x3F);
   if (!version_zero || Read16(datagram, 2) != kProtocolIpv4 ||
       datagram.size() < header) {
     return {};
@@ -65,21 +65,22 @@
 
 std::optional<PacketInfo> ReadPacket(Bytes datagram) {
   const Bytes packet = InnerPacket(datagram);
-  if (packet.size() < kLeastIpBytes || packet[0] >> 4 != 4) {
+  if (packet.size() < kMinIpHeaderBytes || packet[0] >> 4 != 4) {
     return std::nullopt;
   }
   const std::size_t header = 4UL * (packet[0] & 0x0F);
   const std::size_t total = Read16(packet, 2);
   constexpr std::uint16_t kOffsetMask = 0x1FFF;
   const bool later_fragment = (Read16(packet, 6) & kOffsetMask) != 0;
-  if (header < kLeastIpBytes || total < header || total > packet.size() ||
+  if (header < kMinIpHeaderBytes || total < header || total > packet.size() ||
       later_fragment) {
     return std::nullopt;
   }
   const Bytes segment = packet.subspan(header, total - header);
   const std::uint8_t protocol = packet[9];
-  const bool tcp = protocol == IPPROTO_TCP && segment.size() >= kLeastTcpBytes;
-  const bool udp = protocol == IPPROTO_UDP && segment.size() >= kUdpBytes;
+  const bool tcp =
+      protocol == IPPROTO_TCP && segment.size() >= kMinTcpHeaderBytes;
+  const bool udp = protocol == IPPROTO_UDP && segment.size() >= kUdpHeaderBytes;
   if (!tcp && !udp) {
     return std::nullopt;
   }
@@ -125,7 +126,7 @@
 }
 
 std::optional<FlowKey> DecodeFlowKey(const std::string& bytes) {
-  if (bytes.size() != kKeyBytes) {
+  if (bytes.size() != kFlowKeyBytes) {
     return std::nullopt;
   }
   const Bytes view(reinterpret_cast<const std::uint8_t*>(bytes.data()),
--- a/Source/Flows/Packet.h
+++ b/Source/Flows/Packet.h
@@ -7,7 +7,7 @@
 
 #include "Base/Endpoint.h"
 
-/// Reads Geneve datagrams (RFC 8926) with an inner IPv4 TCP or UDP packet.
+/// Parses Geneve datagrams (RFC 8926) with an inner IPv4 TCP or UDP packet.
 namespace filbertwall {
 
 /// Source, destination and protocol of a flow.
@@ -18,7 +18,7 @@
   auto operator<=>(const FlowKey&) const = default;
 };
 
-/// What the decisions need to know of a packet.
+/// The fields of a packet that determine how it is forwarded.
 struct PacketInfo {
   FlowKey key;
   bool tcp = false;
@@ -28,21 +28,24 @@
   std::uint32_t sequence = 0;
 };
 
-/// Empty when the datagram is cut short or is of another kind. Pure.
+/// Parses a datagram. Returns an empty value when it is truncated or of another
+/// kind. Has no side effects.
 std::optional<PacketInfo> ReadPacket(std::span<const std::uint8_t> datagram);
 
-/// Sets the virtual network identifier, which names the service to the backend
-/// server. Precondition: `ReadPacket` accepted the datagram.
+/// Sets the virtual network identifier (VNI), which identifies the service to
+/// the backend server. Precondition: `ReadPacket` accepted the datagram.
 void SetNetworkIdentifier(std::span<std::uint8_t> datagram,
                           std::uint32_t identifier);
 
-/// 24 bits that name a service on the wire to its backend servers.
+/// Returns the 24-bit network identifier (VNI) of a service: a hash of its
+/// name.
 std::uint32_t NetworkIdentifierOf(const std::string& service);
 
 std::uint64_t HashFlow(const FlowKey& key);
 
-/// 13 bytes, for messages between instances.
+/// Encodes a key in 13 bytes, for messages between instances.
 std::string EncodeFlowKey(const FlowKey& key);
+/// Returns an empty value when `bytes` has another length.
 std::optional<FlowKey> DecodeFlowKey(const std::string& bytes);
 
 }  // namespace filbertwall
--- a/Tests/Flows/FlowsTest.cc
+++ b/Tests/Flows/FlowsTest.cc
@@ -37,13 +37,13 @@
   return bytes;
 }
 
-FlowKey KeyNumber(std::uint32_t number) {
+FlowKey MakeKey(std::uint32_t number) {
   return FlowKey{.source = {.ip = number, .port = 7},
                  .destination = {.ip = 9, .port = 80},
                  .protocol = 6};
 }
 
-const Endpoint kVirtual{.ip = 10U << 24 | 2, .port = 80};
+const Endpoint kServiceAddress{.ip = 10U << 24 | 2, .port = 80};
 
 }  // namespace
 
@@ -60,8 +60,8 @@
         ServiceRule{.name = "proof", .protocol = Protocol::kPackets};
     this->rules.services["other"] =
         ServiceRule{.name = "other", .protocol = Protocol::kPackets};
-    this->rules.addresses[kVirtual] =
-        AddressRule{.address = kVirtual, .service = "proof"};
+    this->rules.addresses[kServiceAddress] =
+        AddressRule{.address = kServiceAddress, .service = "proof"};
     this->AddBackend("1.1.1.1:9", "proof", 1);
     this->AddBackend("1.1.1.2:9", "proof", 1);
   }
@@ -95,12 +95,12 @@
   std::vector<std::uint8_t> bytes;
 };
 
-TEST(Flows, TableAgreesWithAMapOverRandomSteps) {
+TEST(Flows, TableMatchesAMapOverRandomOperations) {
   std::mt19937 random(7);
   FlowTable table;
   std::map<FlowKey, std::uint32_t> model;
   for (std::uint32_t step = 0; step < 200000; ++step) {
-    const FlowKey key = KeyNumber(random() % 5000);
+    const FlowKey key = MakeKey(random() % 5000);
     FlowEntry* entry = FindFlow(table, key);
     const auto known = model.find(key);
     CHECK_EQUAL(known != model.end(), entry != nullptr);
@@ -118,10 +118,10 @@
   }
 }
 
-TEST(Flows, HoldsAFlowInAtMost64Bytes) {
+TEST(Flows, TableUsesAtMost64BytesPerFlow) {
   FlowTable table;
   for (std::uint32_t i = 0; i < 300000; ++i) {
-    InsertFlow(table, KeyNumber(i));
+    InsertFlow(table, MakeKey(i));
     if (i >= 1000) {
       CHECK(table.slots.size() * sizeof(FlowEntry) <= 64 * table.size);
     }
@@ -136,7 +136,7 @@
   }
 }
 
-TEST(Flows, RandomBytesAreReadWithoutHarm) {
+TEST(Flows, RandomBytesAreParsedSafely) {
   std::mt19937 random(3);
   for (int round = 0; round < 200000; ++round) {
     std::vector<std::uint8_t> bytes = MakePacket(5, kSyn, 1, 20);
@@ -162,14 +162,14 @@
   }
 }
 
-TEST(Flows, PacketsOfAnAddressThatMovedAreNotMisdelivered) {
+TEST(Flows, PacketsOfAReassignedAddressAreNotForwarded) {
   this->Arrive(MakePacket(5, kSyn, 1));
-  this->rules.addresses[kVirtual].service = "other";
+  this->rules.addresses[kServiceAddress].service = "other";
   this->directory.generation += 1;
   CHECK(this->Arrive(MakePacket(5, kAck, 2)).forwarded.empty());
 }
 
-TEST(Flows, ServerUnderAnotherServiceGetsNoneOfTheOldPackets) {
+TEST(Flows, ServerWithAChangedServiceGetsNoOldPackets) {
   const Endpoint first =
       this->Arrive(MakePacket(5, kSyn, 1)).forwarded.at(0).to;
   this->AddBackend(FormatEndpoint(first), "other", 2);
@@ -179,7 +179,7 @@
   }
 }
 
-TEST(Flows, OpenFlowsWinOverASynFlood) {
+TEST(Flows, EstablishedFlowsSurviveASynFlood) {
   this->tier.limit = 1000;
   for (std::uint16_t port = 1; port <= 500; ++port) {
     this->Arrive(MakePacket(port, kSyn, 1));
@@ -196,7 +196,7 @@
   CHECK_EQUAL(opened, this->tier.counters["opened"]);
 }
 
-TEST(Flows, UnprovenAndIdleFlowsEnd) {
+TEST(Flows, HalfOpenAndIdleFlowsExpire) {
   this->Arrive(MakePacket(1, kSyn, 1));
   this->Arrive(MakePacket(2, kSyn, 1));
   this->Arrive(MakePacket(2, kAck, 2));
@@ -219,13 +219,13 @@
   CHECK_EQUAL(1, this->tier.counters["silent"]);
 }
 
-TEST(Flows, OwnerHearsOfAFlowThatOnlyOthersSee) {
+TEST(Flows, OwnerReceivesRecordsOfFlowsThatOnlyOthersReceive) {
   const Endpoint peer{.ip = 5, .port = 5};
   this->tier.packet_addresses[2] = peer;
   this->tier.instances[peer] = 2;
   std::uint16_t port = 1;
   while (this->Arrive(MakePacket(port, kSyn, 1)).forwarded.at(0).to == peer) {
-    port += 1;  // Owned by the other.
+    port += 1;  // The peer owns this flow.
   }
   CHECK_EQUAL(1, this->Arrive(MakePacket(port, kAck, 2)).datagrams.size());
   CHECK_EQUAL(0, this->Arrive(MakePacket(port, kAck, 3)).datagrams.size());
@@ -233,7 +233,7 @@
   CHECK_EQUAL(1, this->Arrive(MakePacket(port, kAck, 4)).datagrams.size());
 }
 
-TEST(Flows, RecordOfAServerUnderAnotherServiceIsNotFollowed) {
+TEST(Flows, RecordOfAServerWithAnotherServiceIsIgnored) {
   const Endpoint peer{.ip = 5, .port = 5};
   this->tier.packet_addresses[2] = peer;
   this->tier.instances[peer] = 2;
@@ -259,7 +259,7 @@
   CHECK_EQUAL(0, this->tier.table.size);
 }
 
-TEST(Flows, HandedPacketIsNeverHandedOn) {
+TEST(Flows, RelayedPacketIsNeverRelayedAgain) {
   const Endpoint peer{.ip = 5, .port = 5};
   this->tier.packet_addresses[2] = peer;
   this->tier.instances[peer] = 2;
@@ -269,6 +269,6 @@
     event.datagrams.push_back({.bytes = this->bytes, .from = peer});
     const FlowEffects effects = Reduce(this->tier, event, this->Context());
     CHECK(effects.forwarded.at(0).to != peer);
-    CHECK_EQUAL(1, effects.datagrams.size());  // It tells the other.
+    CHECK_EQUAL(1, effects.datagrams.size());  // The record for the peer.
   }
 }
