--- a/Source/Flows/FlowTurn.h
+++ b/Source/Flows/FlowTurn.h
@@ -27,6 +27,7 @@
 
 /// Increments a counter.
 void Count(FlowTurn& turn, const char* counter);
+/// Removes a flow and updates the number of flows of its backend server.
 void DropFlow(FlowTurn& turn, FlowEntry* entry);
 
 /// Whether packets of the service may still go to the flow's backend server.
--- a/Source/Forwarding/FlowPacket.h
+++ b/Source/Forwarding/FlowPacket.h
@@ -28,8 +28,8 @@
   bool aborts = false;       ///< The caller has reset the flow.
   std::uint32_t copies = 0;  ///< Earlier sends of this opening packet.
   std::uint32_t token = 0;   ///< Identifies the flow's server.
-  /// Acknowledgement number of a later packet: the caller has received the
-  /// answer up to this sequence number, which starts anywhere and wraps.
+  /// Acknowledgement number of a later packet: the caller has the answer up to
+  /// this sequence number, which starts anywhere and wraps.
   std::uint32_t received = 0;
   /// Time after which the caller retransmits an unanswered opening packet, or
   /// gives up.
