--- a/Source/Distribution/PackedContents.cc
+++ b/Source/Distribution/PackedContents.cc
@@ -5,19 +5,21 @@
 namespace filbertwall {
 namespace {
 
-/// The warm-up time that is left in a record grows old meanwhile.
-constexpr Milliseconds kRecordsLifetime{100};
+/// Packed records are not reused for longer, since the remaining warm-up time
+/// in them becomes outdated.
+constexpr Milliseconds kMaxRecordsAge{100};
+/// The first byte of packed contents gives their encoding.
 constexpr char kPlain = 'p';
 constexpr char kCompressed = 'c';
 
-std::string Pack(const std::string& plain) {
+std::string PackBytes(const std::string& plain) {
   std::string compressed = Compress(plain);
   return compressed.empty() ? kPlain + plain : kCompressed + compressed;
 }
 
 std::optional<std::string> UnpackBytes(const std::string& bytes) {
-  const std::string rest = bytes.substr(1);
-  return bytes.front() == kCompressed ? Uncompress(rest) : rest;
+  const std::string payload = bytes.substr(1);
+  return bytes.front() == kCompressed ? Uncompress(payload) : payload;
 }
 
 bool UnpackRoutes(wire::Update& update) {
@@ -54,35 +56,35 @@
     packed.rules_version = newest;
     packed.routes.clear();
   }
-  static const std::string kNothing;
+  static const std::string kEmpty;
   if (base >= newest) {
-    return kNothing;
+    return kEmpty;
   }
-  // Every base that is not remembered lacks the same.
+  // All versions that the history does not contain share the full update.
   const std::uint64_t key = history.versions.contains(base) ? base : 0;
   const auto found = packed.routes.find(key);
   if (found != packed.routes.end()) {
     return found->second;
   }
   return packed.routes
-      .emplace(key, Pack(RoutesSince(history, base).SerializeAsString()))
+      .emplace(key, PackBytes(RoutesSince(history, base).SerializeAsString()))
       .first->second;
 }
 
 const PackedRecords& PackRecordsAfter(PackedContents& packed,
                                       const Registry& registry,
-                                      std::uint64_t change, std::size_t most,
-                                      TimePoint now) {
+                                      std::uint64_t change,
+                                      std::size_t max_records, TimePoint now) {
   std::erase_if(packed.records, [&](const auto& item) {
     return item.second.newest_change != registry.change ||
-           now - item.second.packed_at > kRecordsLifetime;
+           now - item.second.packed_at > kMaxRecordsAge;
   });
   const auto [position, added] = packed.records.try_emplace(change);
   PackedRecords& records = position->second;
   if (!added) {
     return records;
   }
-  RecordBatch batch = RecordsAfter(registry, change, most, now);
+  RecordBatch batch = RecordsAfter(registry, change, max_records, now);
   wire::ServerRecords message;
   for (wire::ServerRecord& record : batch.records) {
     *message.add_servers() = std::move(record);
@@ -92,7 +94,7 @@
                           .newest_change = registry.change,
                           .packed_at = now};
   if (message.servers_size() > 0) {
-    records.bytes = Pack(message.SerializeAsString());
+    records.bytes = PackBytes(message.SerializeAsString());
   }
   return records;
 }
--- a/Source/Distribution/PackedContents.h
+++ b/Source/Distribution/PackedContents.h
@@ -9,44 +9,50 @@
 #include "Registry/Registry.h"
 #include "Wire/distribution.pb.h"
 
-/// Contents of updates, encoded and compressed once for all their receivers.
+/// Cache of update contents that are serialized and compressed once and sent
+/// to many receivers.
 ///
-/// Load that it answers: hundreds of instances that start at the same moment
-/// each ask for every route and every backend server. Plain state and pure
-/// functions; not thread safe.
+/// Without the cache, hundreds of instances that start at the same time would
+/// each cause every route and every backend server record to be serialized and
+/// compressed again. Plain state and pure functions; not thread safe.
 namespace filbertwall {
 
-/// Records as they were packed for receivers that have the same.
+/// A packed batch of server records, shared by all receivers that have seen the
+/// same registry change.
 struct PackedRecords {
   std::string bytes;
-  std::uint64_t change = 0;  ///< All up to it are in this or earlier batches.
-  bool complete = true;      ///< There are no later ones.
-  std::uint64_t newest_change = 0;  ///< The registry's, when they were packed.
+  /// Every record up to this change is in this batch or an earlier one.
+  std::uint64_t change = 0;
+  bool complete = true;             ///< No records follow this batch.
+  std::uint64_t newest_change = 0;  ///< `Registry::change` at packing time.
   TimePoint packed_at;
 };
 
 struct PackedContents {
-  std::uint64_t rules_version = 0;                 ///< What `routes` lead to.
-  std::map<std::uint64_t, std::string> routes;     ///< By base version.
-  std::map<std::uint64_t, PackedRecords> records;  ///< By change of receiver.
+  std::uint64_t rules_version = 0;  ///< Version that `routes` update to.
+  /// Packed route updates by the receiver's version.
+  std::map<std::uint64_t, std::string> routes;
+  /// Packed records by the last registry change that the receiver has.
+  std::map<std::uint64_t, PackedRecords> records;
 };
 
-/// What an instance with `base` lacks to have the newest rules, by
-/// `RoutesSince`; empty when it lacks nothing. The result is valid until the
-/// next call.
+/// Returns the packed result of `RoutesSince` for a receiver with version
+/// `base`; empty when the receiver is up to date. The reference is valid until
+/// the next call.
 const std::string& PackRoutesSince(PackedContents& packed,
                                    const RouteHistory& history,
                                    std::uint64_t base);
 
-/// The records after `change`, by `RecordsAfter`. The result is valid until the
-/// next call.
+/// Returns the packed result of `RecordsAfter` with at most `max_records`
+/// records. The reference is valid until the next call.
 const PackedRecords& PackRecordsAfter(PackedContents& packed,
                                       const Registry& registry,
-                                      std::uint64_t change, std::size_t most,
-                                      TimePoint now);
+                                      std::uint64_t change,
+                                      std::size_t max_records, TimePoint now);
 
-/// Puts the contents back where an update without packing has them. False when
-/// they can't be read; the update then holds none.
+/// Replaces the packed fields of an update by the routes and records that they
+/// contain. Returns false when a field cannot be decoded; the update then
+/// contains neither routes nor records.
 bool Unpack(wire::Update& update);
 
 }  // namespace filbertwall
--- a/Source/Distribution/RouteHistory.cc
+++ b/Source/Distribution/RouteHistory.cc
@@ -3,9 +3,9 @@
 namespace filbertwall {
 namespace {
 
-constexpr std::size_t kMostVersions = 12;
+constexpr std::size_t kMaxVersions = 12;
 
-wire::RequestKind KindOf(RouteKind kind) {
+wire::RequestKind RequestKindOf(RouteKind kind) {
   switch (kind) {
     case RouteKind::kSafe:
       return wire::REQUEST_SAFE;
@@ -26,7 +26,7 @@
     item.set_service(share.service);
     item.set_weight(share.weight);
   }
-  route.set_kind(KindOf(rule.treatment.kind));
+  route.set_kind(RequestKindOf(rule.treatment.kind));
   route.set_timeout_ms(
       static_cast<std::uint32_t>(rule.treatment.timeout.count()));
   route.set_objective_ms(
@@ -44,7 +44,7 @@
         static_cast<std::uint64_t>(address.ip) << 16U | address.port;
     set.routes[key] = MakeRoute(rule).SerializeAsString();
   }
-  while (history.versions.size() > kMostVersions) {
+  while (history.versions.size() > kMaxVersions) {
     history.versions.erase(history.versions.begin());
   }
 }
@@ -56,19 +56,19 @@
     return update;
   }
   const auto& [version, newest] = *history.versions.rbegin();
-  const auto known = history.versions.find(base);
-  static const RouteSet kNothing;
-  const bool whole = known == history.versions.end();
-  const RouteSet& before = whole ? kNothing : known->second;
+  const auto base_position = history.versions.find(base);
+  static const RouteSet kEmpty;
+  const bool full_update = base_position == history.versions.end();
+  const RouteSet& base_routes = full_update ? kEmpty : base_position->second;
   update.set_version(version);
-  update.set_base_version(whole ? 0 : base);
+  update.set_base_version(full_update ? 0 : base);
   for (const auto& [key, bytes] : newest.routes) {
-    const auto earlier = before.routes.find(key);
-    if (earlier == before.routes.end() || earlier->second != bytes) {
+    const auto previous = base_routes.routes.find(key);
+    if (previous == base_routes.routes.end() || previous->second != bytes) {
       update.add_set()->ParseFromString(bytes);
     }
   }
-  for (const auto& [key, bytes] : before.routes) {
+  for (const auto& [key, bytes] : base_routes.routes) {
     if (!newest.routes.contains(key)) {
       update.add_removed(key);
     }
--- a/Source/Distribution/RouteHistory.h
+++ b/Source/Distribution/RouteHistory.h
@@ -7,12 +7,13 @@
 #include "Rules/Rules.h"
 #include "Wire/distribution.pb.h"
 
-/// The routes of the last few versions, to send only what changed.
+/// Routes of the most recent rules versions, from which incremental updates are
+/// computed.
 ///
 /// Plain state and pure functions; not thread safe.
 namespace filbertwall {
 
-/// The routes of one version, serialized, by address.
+/// The serialized routes of one version, by IP address and port.
 struct RouteSet {
   std::map<std::uint64_t, std::string> routes;
 };
@@ -21,12 +22,13 @@
   std::map<std::uint64_t, RouteSet> versions;
 };
 
-/// Adds the routes of a version and forgets the oldest beyond the limit.
+/// Adds the routes of a version and removes the oldest versions above the
+/// limit.
 void AddVersion(RouteHistory& history, const Rules& rules);
 
-/// What an instance with `base` lacks to have the newest version: the
-/// difference when `base` is remembered, else every route. An empty message
-/// when it lacks nothing.
+/// Returns the update from version `base` to the newest version: the difference
+/// when the history contains `base`, otherwise every route. The message is
+/// empty when `base` is the newest version or later.
 wire::RoutesUpdate RoutesSince(const RouteHistory& history, std::uint64_t base);
 
 }  // namespace filbertwall
--- a/Tests/Distribution/PackedContentsTest.cc
+++ b/Tests/Distribution/PackedContentsTest.cc
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr TimePoint kStart{std::chrono::hours(1)};
-constexpr std::size_t kMost = 50;
+constexpr std::size_t kMaxRecords = 50;
 
 Rules MakeRules(std::uint64_t version, std::uint16_t last_port) {
   Rules rules{.version = version};
@@ -47,7 +47,7 @@
   }
 };
 
-TEST(PackedContents, RoutesArePackedOnceForAll) {
+TEST(PackedContents, PacksRoutesOnceForAllReceivers) {
   const std::string& first = PackRoutesSince(this->packed, this->history, 0);
   const std::string& other = PackRoutesSince(this->packed, this->history, 1);
   CHECK(first.data() == other.data());
@@ -59,7 +59,7 @@
   CHECK(update.packed_routes().empty());
 }
 
-TEST(PackedContents, ANewVersionIsPackedAnew) {
+TEST(PackedContents, PacksRoutesAgainForANewVersion) {
   PackRoutesSince(this->packed, this->history, 0);
   AddVersion(this->history, MakeRules(4, 1001));
   wire::Update update;
@@ -70,25 +70,26 @@
   CHECK(PackRoutesSince(this->packed, this->history, 4).empty());
 }
 
-TEST(PackedContents, RecordsArePackedOnceUntilOneChanges) {
+TEST(PackedContents, PacksRecordsOnceUntilOneChanges) {
   const PackedRecords& first =
-      PackRecordsAfter(this->packed, this->registry, 0, kMost, kStart);
+      PackRecordsAfter(this->packed, this->registry, 0, kMaxRecords, kStart);
   CHECK_FALSE(first.complete);
-  LONGS_EQUAL(kMost, first.change);
+  LONGS_EQUAL(kMaxRecords, first.change);
   const char* bytes = first.bytes.data();
   CHECK(bytes ==
-        PackRecordsAfter(this->packed, this->registry, 0, kMost, kStart)
+        PackRecordsAfter(this->packed, this->registry, 0, kMaxRecords, kStart)
             .bytes.data());
   AddServer(this->registry, "b");
   wire::Update update;
   update.set_packed_servers(
-      PackRecordsAfter(this->packed, this->registry, 80, kMost, kStart).bytes);
+      PackRecordsAfter(this->packed, this->registry, 80, kMaxRecords, kStart)
+          .bytes);
   CHECK(Unpack(update));
   LONGS_EQUAL(1, update.servers_size());
   CHECK_EQUAL(std::string("b"), update.servers(0).id());
 }
 
-TEST(PackedContents, TheWarmUpTimeThatIsLeftIsNotOld) {
+TEST(PackedContents, RefreshesTheRemainingWarmupTime) {
   wire::ServerRecord record;
   record.set_id("cold");
   record.set_service("proof");
@@ -98,16 +99,17 @@
   record.set_incarnation(1);
   record.set_warmup_ms(2000);
   MergeRecord(this->registry, record, kStart);
-  PackRecordsAfter(this->packed, this->registry, 80, kMost, kStart);
+  PackRecordsAfter(this->packed, this->registry, 80, kMaxRecords, kStart);
   wire::Update update;
   update.set_packed_servers(PackRecordsAfter(this->packed, this->registry, 80,
-                                             kMost, kStart + Milliseconds(1500))
+                                             kMaxRecords,
+                                             kStart + Milliseconds(1500))
                                 .bytes);
   CHECK(Unpack(update));
   LONGS_EQUAL(500, update.servers(0).warmup_ms());
 }
 
-TEST(PackedContents, BytesOfAnotherWriterAreRefusedWhole) {
+TEST(PackedContents, RejectsTheWholeUpdateWhenAFieldIsInvalid) {
   for (const std::string& bytes :
        {std::string("c"), std::string("cxxxxxxxxxxxx"),
         std::string("p\x0a\xff"), std::string("c\xff\xff\xff\xff")}) {
--- a/Tests/Distribution/RouteHistoryTest.cc
+++ b/Tests/Distribution/RouteHistoryTest.cc
@@ -24,7 +24,7 @@
 
 TEST_GROUP(RouteHistory) { RouteHistory history; };
 
-TEST(RouteHistory, OnlyWhatChangedIsSent) {
+TEST(RouteHistory, SendsOnlyTheDifference) {
   AddVersion(this->history, MakeRules(3, 1, 1000, 900));
   AddVersion(this->history, MakeRules(7, 2, 1001, 900));
   const wire::RoutesUpdate update = RoutesSince(this->history, 3);
@@ -35,20 +35,20 @@
   LONGS_EQUAL(1, update.removed_size());
 }
 
-TEST(RouteHistory, UnknownVersionsGetEveryRoute) {
+TEST(RouteHistory, SendsEveryRouteToAnUnknownVersion) {
   AddVersion(this->history, MakeRules(3, 1, 10, 900));
   const wire::RoutesUpdate update = RoutesSince(this->history, 2);
   CHECK_EQUAL(0, update.base_version());
   LONGS_EQUAL(10, update.set_size());
 }
 
-TEST(RouteHistory, WhoHasTheNewestGetsNothing) {
+TEST(RouteHistory, SendsNothingToTheNewestVersion) {
   AddVersion(this->history, MakeRules(3, 1, 10, 900));
   CHECK_EQUAL(0, RoutesSince(this->history, 3).version());
   CHECK_EQUAL(0, RoutesSince(this->history, 4).version());
 }
 
-TEST(RouteHistory, OldVersionsAreForgotten) {
+TEST(RouteHistory, RemovesOldVersions) {
   for (std::uint64_t version = 1; version <= 100; ++version) {
     AddVersion(this->history, MakeRules(version, 1, 2, 900));
   }
