--- a/Source/Registry/Registry.cc
+++ b/Source/Registry/Registry.cc
@@ -6,10 +6,10 @@
 namespace filbertwall {
 namespace {
 
-constexpr std::uint32_t kMostSlots = 100000;
-constexpr std::size_t kLongestName = 200;
+constexpr std::uint32_t kMaxSlots = 100000;
+constexpr std::size_t kMaxNameBytes = 200;
 
-/// Whether `next` says something that `known` does not.
+/// Returns whether `next` replaces `known`.
 bool Supersedes(const wire::ServerRecord& next,
                 const wire::ServerRecord& known) {
   if (next.incarnation() != known.incarnation()) {
@@ -24,7 +24,8 @@
   return next.silent() != known.silent() || next.failing() != known.failing();
 }
 
-/// Whether the statements differ in what other instances must know.
+/// Returns whether two records differ in a field that other instances must
+/// know.
 bool Differs(const wire::ServerRecord& left, const wire::ServerRecord& right) {
   const bool same =
       left.incarnation() == right.incarnation() &&
@@ -35,35 +36,36 @@
   return !same;
 }
 
-/// Gives the server the registry's next change.
-void NoteChange(Registry& registry, const std::string& id, Server& server) {
+/// Assigns the next registry change to the server.
+void AssignNextChange(Registry& registry, const std::string& id,
+                      Server& server) {
   registry.ids_by_change.erase(server.change);
   server.change = ++registry.change;
   registry.ids_by_change.emplace(server.change, id);
 }
 
-std::uint32_t WarmupLeft(const Server& server, TimePoint now) {
-  const std::int64_t left =
-      server.record.warmup_ms() - MillisecondsBetween(server.stated_at, now);
-  return static_cast<std::uint32_t>(std::max<std::int64_t>(0, left));
+std::uint32_t RemainingWarmup(const Server& server, TimePoint now) {
+  const std::int64_t remaining =
+      server.record.warmup_ms() - MillisecondsBetween(server.updated_at, now);
+  return static_cast<std::uint32_t>(std::max<std::int64_t>(0, remaining));
 }
 
 }  // namespace
 
 std::string CheckRecord(const wire::ServerRecord& record) {
-  if (record.id().empty() || record.id().size() > kLongestName) {
+  if (record.id().empty() || record.id().size() > kMaxNameBytes) {
     return "id: expected 1 to 200 bytes";
   }
   if (record.phase() == wire::SERVER_GONE) {
     return "";
   }
-  if (record.service().empty() || record.service().size() > kLongestName) {
+  if (record.service().empty() || record.service().size() > kMaxNameBytes) {
     return "service: expected 1 to 200 bytes";
   }
   if (record.ip() == 0 || record.port() == 0 || record.port() > UINT16_MAX) {
     return "address: expected IP:port";
   }
-  if (record.slots() == 0 || record.slots() > kMostSlots) {
+  if (record.slots() == 0 || record.slots() > kMaxSlots) {
     return "slots: expected 1 to 100000";
   }
   return "";
@@ -83,13 +85,14 @@
   }
   const bool differs = added || Differs(record, server.record);
   if (!differs) {
-    // The sequence must be kept, but nobody else needs to hear of it.
+    // The sequence number is kept to reject older reports. Other instances do
+    // not need it.
     server.record.set_sequence(record.sequence());
     return false;
   }
   server.record = record;
-  server.stated_at = now;
-  NoteChange(registry, record.id(), server);
+  server.updated_at = now;
+  AssignNextChange(registry, record.id(), server);
   return true;
 }
 
@@ -101,7 +104,7 @@
   server->second.heard_at = std::max(server->second.heard_at, now);
   if (server->second.record.silent()) {
     server->second.record.set_silent(false);
-    NoteChange(registry, id, server->second);
+    AssignNextChange(registry, id, server->second);
   }
 }
 
@@ -112,7 +115,7 @@
     return;
   }
   server->second.record.set_failing(failing);
-  NoteChange(registry, id, server->second);
+  AssignNextChange(registry, id, server->second);
 }
 
 void KeepJudgement(const Registry& registry, wire::ServerRecord& record) {
@@ -125,11 +128,11 @@
 std::size_t MarkSilent(Registry& registry, Milliseconds limit, TimePoint now) {
   std::size_t marked = 0;
   for (auto& [id, server] : registry.servers) {
-    const bool lapsed = now - server.heard_at > limit;
-    if (lapsed && !server.record.silent() &&
+    const bool expired = now - server.heard_at > limit;
+    if (expired && !server.record.silent() &&
         server.record.phase() != wire::SERVER_GONE) {
       server.record.set_silent(true);
-      NoteChange(registry, id, server);
+      AssignNextChange(registry, id, server);
       marked += 1;
     }
   }
@@ -139,30 +142,30 @@
 void ForgetGone(Registry& registry, Milliseconds limit, TimePoint now) {
   std::erase_if(registry.servers, [&](const auto& item) {
     const Server& server = item.second;
-    const bool over =
+    const bool inactive =
         server.record.phase() == wire::SERVER_GONE || server.record.silent();
-    const bool forgotten =
-        over && now - std::max(server.stated_at, server.heard_at) > limit;
-    if (forgotten) {
+    const bool removed =
+        inactive && now - std::max(server.updated_at, server.heard_at) > limit;
+    if (removed) {
       registry.ids_by_change.erase(server.change);
     }
-    return forgotten;
+    return removed;
   });
 }
 
 RecordBatch RecordsAfter(const Registry& registry, std::uint64_t change,
-                         std::size_t most, TimePoint now) {
+                         std::size_t max_records, TimePoint now) {
   RecordBatch batch{.change = registry.change};
   auto next = registry.ids_by_change.upper_bound(change);
   for (; next != registry.ids_by_change.end(); ++next) {
-    if (batch.records.size() >= most) {
+    if (batch.records.size() >= max_records) {
       batch.change = std::prev(next)->first;
       batch.complete = false;
       break;
     }
     const Server& server = registry.servers.at(next->second);
     batch.records.push_back(server.record);
-    batch.records.back().set_warmup_ms(WarmupLeft(server, now));
+    batch.records.back().set_warmup_ms(RemainingWarmup(server, now));
   }
   return batch;
 }
--- a/Source/Registry/Registry.h
+++ b/Source/Registry/Registry.h
@@ -9,65 +9,71 @@
 #include "Base/Time.h"
 #include "Wire/registry.pb.h"
 
-/// What an instance knows of backend servers that tell their id and
-/// incarnation.
+/// The backend servers known to an instance, each by its id and incarnation.
 ///
-/// Records merge in any order to the same result: a later incarnation goes
-/// before an earlier one, then a later sequence; an incarnation that is gone
-/// stays gone. Plain state and pure functions; not thread safe.
+/// Merging records gives the same result in any order: the later incarnation
+/// takes precedence, then the higher sequence number. An incarnation whose
+/// phase is `SERVER_GONE` never leaves that phase. Plain state and pure
+/// functions; not thread safe.
 namespace filbertwall {
 
-/// One backend server, by its latest incarnation.
+/// The latest incarnation of a backend server.
 struct Server {
   wire::ServerRecord record;
-  TimePoint stated_at;       ///< When this instance took the record.
-  TimePoint heard_at;        ///< Its last report to any control instance.
-  TimePoint reported_at;     ///< Its last report to this control instance.
-  std::uint64_t change = 0;  ///< The registry's change that took the record.
+  TimePoint updated_at;      ///< When the record was last replaced.
+  TimePoint heard_at;        ///< Last report to any control instance.
+  TimePoint reported_at;     ///< Last report to this control instance.
+  std::uint64_t change = 0;  ///< Registry change that last modified the record.
 };
 
 struct Registry {
   std::map<std::string, Server> servers;  ///< By id.
-  std::uint64_t change = 0;  ///< Rises with each record that is taken.
-  /// Each server's id by its `change`, so that what is new is found without a
-  /// look at the others.
+  std::uint64_t change = 0;  ///< Incremented with each change of a record.
+  /// Server ids by `Server::change`. Finds the records after a given change
+  /// without a scan of all servers.
   std::map<std::uint64_t, std::string> ids_by_change;
 };
 
-/// Records in the order in which they were taken.
+/// Records in the order of their last change.
 struct RecordBatch {
   std::vector<wire::ServerRecord> records;
-  std::uint64_t change = 0;  ///< All up to it are in this or earlier batches.
-  bool complete = true;      ///< There are no later ones.
+  /// Every record up to this change is in this batch or an earlier one.
+  std::uint64_t change = 0;
+  bool complete = true;  ///< No records follow this batch.
 };
 
-/// What a record lacks; empty when it may be used.
+/// Returns a description of the first error in a record; empty when the record
+/// is valid.
 std::string CheckRecord(const wire::ServerRecord& record);
 
-/// Takes a record. False when it says nothing new; then only `heard_at` moves.
-/// Precondition: `CheckRecord` is empty.
+/// Merges a record. Returns false when nothing changes that other instances
+/// must know; only `heard_at` and the sequence number may be updated then.
+/// Precondition: `CheckRecord` returns an empty string.
 bool MergeRecord(Registry& registry, const wire::ServerRecord& record,
                  TimePoint now);
 
-/// Notes that a server reported to another control instance.
+/// Records that a server reported to another control instance.
 void NoteHeard(Registry& registry, const std::string& id, TimePoint now);
 
-/// Notes whether a server fails its callers. Unknown ids are left out.
+/// Records whether a server fails requests of its callers. Ignores unknown ids.
 void SetFailing(Registry& registry, const std::string& id, bool failing);
 
-/// Gives a record of another writer the judgement of this instance: servers and
-/// other control instances do not decide here whether a server fails.
+/// Sets `failing` of a received record to the value in this registry, or to
+/// false when the registry has no record of the same incarnation. Each control
+/// instance decides on its own whether a server is failing; the value that a
+/// server or another control instance sent is ignored.
 void KeepJudgement(const Registry& registry, wire::ServerRecord& record);
 
-/// Marks servers that nobody has heard for `limit`. Gives how many.
+/// Marks servers as silent that have not reported to any control instance for
+/// longer than `limit`. Returns the number of servers marked by this call.
 std::size_t MarkSilent(Registry& registry, Milliseconds limit, TimePoint now);
 
-/// Forgets those that have been gone or silent for `limit`.
+/// Removes servers that have been gone or silent for longer than `limit`.
 void ForgetGone(Registry& registry, Milliseconds limit, TimePoint now);
 
-/// The first `most` records that were taken after `change`, with the warm-up
-/// time that is left now.
+/// Returns the first `max_records` records that changed after `change`, with
+/// the warm-up time that remains at `now`.
 RecordBatch RecordsAfter(const Registry& registry, std::uint64_t change,
-                         std::size_t most, TimePoint now);
+                         std::size_t max_records, TimePoint now);
 
 }  // namespace filbertwall
--- a/Tests/Registry/RegistryTest.cc
+++ b/Tests/Registry/RegistryTest.cc
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr TimePoint kStart{std::chrono::hours(1)};
-constexpr std::size_t kMost = 100;
+constexpr std::size_t kMaxRecords = 100;
 
 wire::ServerRecord MakeRecord(std::uint64_t incarnation, std::uint64_t sequence,
                               wire::ServerPhase phase = wire::SERVER_READY) {
@@ -26,7 +26,7 @@
   return record;
 }
 
-const wire::ServerRecord& Held(const Registry& registry) {
+const wire::ServerRecord& CurrentRecord(const Registry& registry) {
   return registry.servers.at("i-1").record;
 }
 
@@ -34,72 +34,73 @@
 
 TEST_GROUP(Registry) { Registry registry; };
 
-TEST(Registry, LateReportsChangeNothing) {
+TEST(Registry, IgnoresOutdatedReports) {
   CHECK(MergeRecord(this->registry, MakeRecord(5, 9, wire::SERVER_DRAINING),
                     kStart));
   CHECK_FALSE(MergeRecord(this->registry, MakeRecord(5, 8), kStart));
   CHECK_FALSE(MergeRecord(this->registry, MakeRecord(4, 99), kStart));
-  CHECK_EQUAL(wire::SERVER_DRAINING, Held(this->registry).phase());
+  CHECK_EQUAL(wire::SERVER_DRAINING, CurrentRecord(this->registry).phase());
 }
 
-TEST(Registry, AnIdThatStartsAgainCountsAnew) {
+TEST(Registry, ALaterIncarnationStartsANewSequence) {
   MergeRecord(this->registry, MakeRecord(5, 900, wire::SERVER_GONE), kStart);
   CHECK(MergeRecord(this->registry, MakeRecord(6, 1), kStart));
-  CHECK_EQUAL(wire::SERVER_READY, Held(this->registry).phase());
+  CHECK_EQUAL(wire::SERVER_READY, CurrentRecord(this->registry).phase());
 }
 
-TEST(Registry, AnIncarnationThatIsGoneStaysGone) {
+TEST(Registry, AnIncarnationThatIsGoneIsNotRevived) {
   MergeRecord(this->registry, MakeRecord(5, 3, wire::SERVER_GONE), kStart);
   CHECK_FALSE(MergeRecord(this->registry, MakeRecord(5, 4), kStart));
-  CHECK_EQUAL(wire::SERVER_GONE, Held(this->registry).phase());
+  CHECK_EQUAL(wire::SERVER_GONE, CurrentRecord(this->registry).phase());
 }
 
-TEST(Registry, ReportsWithoutNewsAreNotSentOn) {
+TEST(Registry, UnchangedReportsAreNotForwarded) {
   MergeRecord(this->registry, MakeRecord(5, 1), kStart);
   const std::uint64_t change = this->registry.change;
   CHECK_FALSE(MergeRecord(this->registry, MakeRecord(5, 2), kStart));
   CHECK_EQUAL(change, this->registry.change);
-  CHECK(RecordsAfter(this->registry, change, kMost, kStart).records.empty());
-  // Its sequence counts all the same.
+  CHECK(RecordsAfter(this->registry, change, kMaxRecords, kStart)
+            .records.empty());
+  // The sequence number of the unchanged report is kept.
   CHECK_FALSE(MergeRecord(this->registry,
                           MakeRecord(5, 1, wire::SERVER_DRAINING), kStart));
 }
 
-TEST(Registry, SilenceIsMarkedAndUndone) {
+TEST(Registry, MarksAndClearsSilence) {
   constexpr Milliseconds kLimit{6000};
   MergeRecord(this->registry, MakeRecord(5, 1), kStart);
   LONGS_EQUAL(0, MarkSilent(this->registry, kLimit, kStart + kLimit));
   const TimePoint later = kStart + kLimit + Milliseconds(1);
   LONGS_EQUAL(1, MarkSilent(this->registry, kLimit, later));
-  CHECK(Held(this->registry).silent());
+  CHECK(CurrentRecord(this->registry).silent());
   NoteHeard(this->registry, "i-1", later);
-  CHECK_FALSE(Held(this->registry).silent());
+  CHECK_FALSE(CurrentRecord(this->registry).silent());
   LONGS_EQUAL(0, MarkSilent(this->registry, kLimit, later));
 }
 
-TEST(Registry, WarmupIsToldAsTimeLeft) {
+TEST(Registry, ReturnsTheRemainingWarmupTime) {
   wire::ServerRecord record = MakeRecord(5, 1);
   record.set_warmup_ms(2000);
   MergeRecord(this->registry, record, kStart);
-  const auto soon =
-      RecordsAfter(this->registry, 0, kMost, kStart + Milliseconds(500))
+  const auto early =
+      RecordsAfter(this->registry, 0, kMaxRecords, kStart + Milliseconds(500))
           .records;
-  LONGS_EQUAL(1500, soon[0].warmup_ms());
+  LONGS_EQUAL(1500, early[0].warmup_ms());
   const auto late =
-      RecordsAfter(this->registry, 0, kMost, kStart + Milliseconds(2500))
+      RecordsAfter(this->registry, 0, kMaxRecords, kStart + Milliseconds(2500))
           .records;
   LONGS_EQUAL(0, late[0].warmup_ms());
 }
 
-TEST(Registry, RecordsComeInBatchesByChange) {
+TEST(Registry, ReturnsRecordsInBatchesOrderedByChange) {
   for (int i = 0; i < 5; ++i) {
     wire::ServerRecord record = MakeRecord(1, 1);
     record.set_id("i-" + std::to_string(i));
     MergeRecord(this->registry, record, kStart);
   }
-  wire::ServerRecord again = MakeRecord(2, 1);
-  again.set_id("i-0");
-  MergeRecord(this->registry, again, kStart);
+  wire::ServerRecord restarted = MakeRecord(2, 1);
+  restarted.set_id("i-0");
+  MergeRecord(this->registry, restarted, kStart);
   const RecordBatch first = RecordsAfter(this->registry, 0, 3, kStart);
   CHECK_FALSE(first.complete);
   LONGS_EQUAL(3, first.records.size());
@@ -112,14 +113,14 @@
   CHECK_EQUAL(this->registry.change, second.change);
 }
 
-TEST(Registry, ForgottenServersAreNotTold) {
+TEST(Registry, DoesNotReturnRemovedServers) {
   constexpr Milliseconds kLimit{1000};
   MergeRecord(this->registry, MakeRecord(5, 3, wire::SERVER_GONE), kStart);
   ForgetGone(this->registry, kLimit, kStart + kLimit + Milliseconds(1));
-  CHECK(RecordsAfter(this->registry, 0, kMost, kStart).records.empty());
+  CHECK(RecordsAfter(this->registry, 0, kMaxRecords, kStart).records.empty());
 }
 
-TEST(Registry, RecordsOfOtherWritersAreChecked) {
+TEST(Registry, ReportsInvalidRecords) {
   CHECK(CheckRecord(MakeRecord(1, 1)).empty());
   wire::ServerRecord record = MakeRecord(1, 1);
   record.set_slots(0);
@@ -135,7 +136,7 @@
   CHECK_FALSE(CheckRecord(record).empty());
 }
 
-TEST(Registry, AnyOrderOfReportsGivesTheSameResult) {
+TEST(Registry, MergesReportsInAnyOrderToTheSameResult) {
   std::vector<wire::ServerRecord> records;
   for (std::uint64_t incarnation = 1; incarnation <= 3; ++incarnation) {
     records.push_back(MakeRecord(incarnation, 1));
@@ -150,7 +151,7 @@
     for (const wire::ServerRecord& record : records) {
       MergeRecord(shuffled, record, kStart);
     }
-    CHECK_EQUAL(3, Held(shuffled).incarnation());
-    CHECK_EQUAL(wire::SERVER_GONE, Held(shuffled).phase());
+    CHECK_EQUAL(3, CurrentRecord(shuffled).incarnation());
+    CHECK_EQUAL(wire::SERVER_GONE, CurrentRecord(shuffled).phase());
   }
 }
