--- a/Source/Placement/Placement.cc
+++ b/Source/Placement/Placement.cc
@@ -10,24 +10,29 @@
 namespace filbertwall {
 namespace {
 
-/// A server that answers no opening packet for this long is left out.
-constexpr Milliseconds kAnswerLimit{50};
-constexpr Milliseconds kShortestAvoidance{300};
-constexpr Milliseconds kLongestAvoidance{2400};
+/// A server with pending opening packets is avoided when it has accepted no
+/// flow for this long.
+constexpr Milliseconds kAnswerTimeout{50};
+constexpr Milliseconds kMinAvoidance{300};
+constexpr Milliseconds kMaxAvoidance{2400};
 
-/// After this many openings without an answer a data centre is taken for cut
-/// off; one flow at a time then tries it.
+/// A data centre is considered unreachable after this many consecutive opening
+/// packets without an answer. One flow per `kDataCentreAvoidance` then probes
+/// it.
 constexpr std::uint32_t kUnansweredLimit = 3;
 constexpr Milliseconds kDataCentreAvoidance{1000};
 
-/// What a server in another data centre costs more, in flows a slot.
+/// Additional cost of a server in another data centre, in flows per slot.
 constexpr double kRemoteCost = 0.2;
-constexpr double kColdFactor = 1.6;
-/// What twice the service's usual duration costs, in flows a slot.
+/// Load factor of a server that is still warming up.
+constexpr double kWarmupFactor = 1.6;
+/// Cost of flows that last twice the mean duration of the service, in flows per
+/// slot.
 constexpr double kSlownessCost = 0.6;
-constexpr double kMostSlowness = 3.0;
-/// Slowness that is not measured again counts half after this time.
+constexpr double kMaxSlowness = 3.0;
+/// Half-life of a server's slowness without a new measurement.
 constexpr Milliseconds kSlownessHalfLife{500};
+/// Weights of a new duration in the moving averages.
 constexpr double kServerWeight = 0.25;
 constexpr double kServiceWeight = 0.02;
 
@@ -35,47 +40,50 @@
   return average == 0 ? measured : average + weight * (measured - average);
 }
 
-/// How much longer than usual the server's flows last, as a share of the usual
-/// duration. Shows the work that other instances give it, which this one does
-/// not see.
+/// Returns by how much the server's flows last longer than the mean of its
+/// service, as a fraction of that mean. This reveals load from other instances,
+/// whose flows this instance does not see.
 double SlownessOf(const Placement& placement, const PlacedServer& server,
                   TimePoint now) {
-  const double usual = placement.duration_of[server.service];
-  if (usual <= 0 || server.duration_ms <= usual) {
+  const double service_mean_ms =
+      placement.mean_duration_ms_by_service[server.service];
+  if (service_mean_ms <= 0 || server.mean_duration_ms <= service_mean_ms) {
     return 0;
   }
-  const double half_lives =
-      static_cast<double>(MillisecondsBetween(server.duration_at, now)) /
-      static_cast<double>(kSlownessHalfLife.count());
-  const double slowness = server.duration_ms / usual - 1.0;
-  return std::min(kMostSlowness, slowness) * std::exp2(-half_lives);
+  const double half_lives = static_cast<double>(MillisecondsBetween(
+                                server.duration_updated_at, now)) /
+                            static_cast<double>(kSlownessHalfLife.count());
+  const double slowness = server.mean_duration_ms / service_mean_ms - 1.0;
+  return std::min(kMaxSlowness, slowness) * std::exp2(-half_lives);
 }
 
-/// The lower, the sooner a new flow is served there.
+/// Returns the cost of placing a new flow on the server, in flows per slot. A
+/// lower cost means that the flow is expected to be served earlier.
 double CostOf(const Placement& placement, const PlacedServer& server,
               TimePoint now) {
-  const double cold = now < server.warm_at ? kColdFactor : 1.0;
-  const double load = (server.in_flight + 1.0) * cold / server.slots;
+  const double warmup_factor =
+      now < server.warmup_ends_at ? kWarmupFactor : 1.0;
+  const double load = (server.in_flight + 1.0) * warmup_factor / server.slots;
   return load + (server.local ? 0.0 : kRemoteCost) +
          kSlownessCost * SlownessOf(placement, server, now);
 }
 
-bool Avoided(const PlacedServer& server, TimePoint now) {
+bool IsAvoided(const PlacedServer& server, TimePoint now) {
   if (now < server.avoid_until) {
     return true;
   }
-  return server.unanswered > 0 &&
-         now - server.unanswered_since > kAnswerLimit &&
-         server.answered_at <= server.unanswered_since;
+  return server.pending_openings > 0 &&
+         now - server.pending_since > kAnswerTimeout &&
+         server.answered_at <= server.pending_since;
 }
 
 void Avoid(PlacedServer& server, TimePoint now) {
-  constexpr std::uint32_t kMostDoublings = 3;
+  constexpr std::uint32_t kMaxDoublings = 3;
   const std::uint32_t doublings =
-      std::min(server.failures_in_row, kMostDoublings);
+      std::min(server.avoidances_in_row, kMaxDoublings);
   server.avoid_until =
-      now + std::min(kLongestAvoidance, kShortestAvoidance * (1 << doublings));
-  server.failures_in_row += 1;
+      now + std::min(kMaxAvoidance, kMinAvoidance * (1 << doublings));
+  server.avoidances_in_row += 1;
 }
 
 std::uint32_t InternDataCentre(Placement& placement, const std::string& name) {
@@ -90,26 +98,29 @@
   return index;
 }
 
-/// A failing server for a flow that may be repeated, now and then: each gets
-/// this part of what it would get if it were well.
+/// Returns a failing server for a small random part of the flows whose requests
+/// may be retried. Each failing server gets one in `kFlowsPerTrial` of the
+/// flows that it would get if it were not failing.
 std::optional<ServerIndex> ChooseTrial(Placement& placement,
                                        const NewFlow& flow, TimePoint now) {
-  constexpr std::uint64_t kFlowsATrial = 12;
-  const std::vector<ServerIndex>& failing = placement.failing_of[flow.service];
-  const std::size_t usable = placement.usable_of[flow.service].size();
+  constexpr std::uint64_t kFlowsPerTrial = 12;
+  const std::vector<ServerIndex>& failing =
+      placement.failing_by_service[flow.service];
+  const std::size_t usable = placement.usable_by_service[flow.service].size();
   if (failing.empty() || !flow.repeatable || flow.except) {
     return std::nullopt;
   }
-  const std::uint64_t draw = MixHash(placement.config.seed, placement.draws++) %
-                             (kFlowsATrial * usable);
+  const std::uint64_t draw =
+      MixHash(placement.config.seed, placement.draw_count++) %
+      (kFlowsPerTrial * usable);
   if (draw >= failing.size() ||
-      Avoided(placement.servers[failing[draw]], now)) {
+      IsAvoided(placement.servers[failing[draw]], now)) {
     return std::nullopt;
   }
   return failing[draw];
 }
 
-bool SeemsCutOff(const PlacedDataCentre& data_centre) {
+bool SeemsUnreachable(const PlacedDataCentre& data_centre) {
   return data_centre.unanswered_in_row >= kUnansweredLimit;
 }
 
@@ -118,16 +129,16 @@
 std::uint64_t NumberOf(std::string_view id) {
   constexpr unsigned kBitsOfDigit = 4;
   std::uint64_t number = 0;
-  for (const char letter : id) {
-    const bool digit = letter >= '0' && letter <= '9';
-    const bool low = letter >= 'a' && letter <= 'f';
-    const bool high = letter >= 'A' && letter <= 'F';
+  for (const char character : id) {
+    const bool digit = character >= '0' && character <= '9';
+    const bool lower = character >= 'a' && character <= 'f';
+    const bool upper = character >= 'A' && character <= 'F';
     if (digit) {
-      number = number << kBitsOfDigit | static_cast<unsigned>(letter - '0');
-    } else if (low || high) {
-      const char first = low ? 'a' : 'A';
-      number =
-          number << kBitsOfDigit | static_cast<unsigned>(letter - first + 10);
+      number = number << kBitsOfDigit | static_cast<unsigned>(character - '0');
+    } else if (lower || upper) {
+      const char first = lower ? 'a' : 'A';
+      number = number << kBitsOfDigit |
+               static_cast<unsigned>(character - first + 10);
     }
   }
   return number;
@@ -135,11 +146,11 @@
 
 ServiceIndex InternService(Placement& placement, const std::string& name) {
   const auto [position, added] = placement.services.emplace(
-      name, static_cast<ServiceIndex>(placement.usable_of.size()));
+      name, static_cast<ServiceIndex>(placement.usable_by_service.size()));
   if (added) {
-    placement.usable_of.emplace_back();
-    placement.failing_of.emplace_back();
-    placement.duration_of.push_back(0);
+    placement.usable_by_service.emplace_back();
+    placement.failing_by_service.emplace_back();
+    placement.mean_duration_ms_by_service.push_back(0);
   }
   return position->second;
 }
@@ -149,20 +160,21 @@
   const auto [position, added] = placement.by_id.emplace(
       record.id(), static_cast<ServerIndex>(placement.servers.size()));
   if (added) {
-    PlacedServer fresh{.id = record.id(), .number = NumberOf(record.id())};
-    fresh.token = static_cast<std::uint32_t>(fresh.number);
+    PlacedServer fresh{.id = record.id(), .numeric_id = NumberOf(record.id())};
+    fresh.token = static_cast<std::uint32_t>(fresh.numeric_id);
     placement.servers.push_back(fresh);
-    // Of two servers with one token the first keeps it; see RefreshUsable.
+    // When two servers have the same token, the first one keeps it and
+    // RefreshUsable excludes the other.
     placement.by_token.emplace(fresh.token, position->second);
   }
   PlacedServer& server = placement.servers[position->second];
   if (record.incarnation() != server.incarnation) {
-    // It has started again and holds none of the flows from before.
+    // The server has restarted and has none of its previous flows.
     server.incarnation = record.incarnation();
-    server.unanswered = 0;
-    server.failures_in_row = 0;
+    server.pending_openings = 0;
+    server.avoidances_in_row = 0;
     server.avoid_until = {};
-    server.duration_ms = 0;
+    server.mean_duration_ms = 0;
   }
   if (record.phase() == wire::SERVER_GONE && record.ip() == 0) {
     server.usable = false;
@@ -174,7 +186,7 @@
   server.data_centre = InternDataCentre(placement, record.data_centre());
   server.slots = std::max<std::uint32_t>(1, record.slots());
   server.local = record.data_centre() == placement.config.data_centre;
-  server.warm_at = now + Milliseconds(record.warmup_ms());
+  server.warmup_ends_at = now + Milliseconds(record.warmup_ms());
   server.usable = record.phase() == wire::SERVER_READY && !record.silent();
   server.failing = record.failing();
 }
@@ -185,18 +197,18 @@
     std::uint64_t& incarnation = latest[server.address];
     incarnation = std::max(incarnation, server.incarnation);
   }
-  for (std::size_t i = 0; i < placement.usable_of.size(); ++i) {
-    placement.usable_of[i].clear();
-    placement.failing_of[i].clear();
+  for (std::size_t i = 0; i < placement.usable_by_service.size(); ++i) {
+    placement.usable_by_service[i].clear();
+    placement.failing_by_service[i].clear();
   }
   for (ServerIndex i = 0; i < placement.servers.size(); ++i) {
     const PlacedServer& server = placement.servers[i];
     const bool owns_token = placement.by_token.at(server.token) == i;
     if (server.usable && owns_token &&
         latest.at(server.address) == server.incarnation) {
-      placement.usable_of[server.service].push_back(i);
+      placement.usable_by_service[server.service].push_back(i);
       if (server.failing) {
-        placement.failing_of[server.service].push_back(i);
+        placement.failing_by_service[server.service].push_back(i);
       }
     }
   }
@@ -204,11 +216,12 @@
 
 std::optional<ServerIndex> ChooseServer(Placement& placement,
                                         const NewFlow& flow, TimePoint now) {
-  if (flow.service >= placement.usable_of.size()) {
+  if (flow.service >= placement.usable_by_service.size()) {
     return std::nullopt;
   }
-  const std::vector<ServerIndex>& list = placement.usable_of[flow.service];
-  if (list.empty()) {
+  const std::vector<ServerIndex>& candidates =
+      placement.usable_by_service[flow.service];
+  if (candidates.empty()) {
     return std::nullopt;
   }
   if (const auto trial = ChooseTrial(placement, flow, now)) {
@@ -216,19 +229,20 @@
   }
   std::optional<ServerIndex> best;
   double best_cost = std::numeric_limits<double>::infinity();
-  // A server that seems dead is tried only when there is no other.
+  // A server that seems unreachable is chosen only when there is no other.
   constexpr double kAvoidedCost = 1000;
   constexpr double kExceptCost = 500;
   constexpr double kFailingCost = 100;
   const std::size_t start =
-      MixHash(placement.config.seed, placement.draws++) % list.size();
-  for (std::size_t i = 0; i < list.size(); ++i) {
-    const ServerIndex index = list[(start + i) % list.size()];
+      MixHash(placement.config.seed, placement.draw_count++) %
+      candidates.size();
+  for (std::size_t i = 0; i < candidates.size(); ++i) {
+    const ServerIndex index = candidates[(start + i) % candidates.size()];
     const PlacedServer& server = placement.servers[index];
     const PlacedDataCentre& data_centre =
         placement.data_centres[server.data_centre];
     const double cost = CostOf(placement, server, now) +
-                        (Avoided(server, now) ? kAvoidedCost : 0) +
+                        (IsAvoided(server, now) ? kAvoidedCost : 0) +
                         (now < data_centre.avoid_until ? kAvoidedCost : 0) +
                         (server.failing ? kFailingCost : 0) +
                         (flow.except == index ? kExceptCost : 0);
@@ -239,7 +253,7 @@
   }
   PlacedDataCentre& chosen =
       placement.data_centres[placement.servers[*best].data_centre];
-  if (SeemsCutOff(chosen)) {
+  if (SeemsUnreachable(chosen)) {
     chosen.avoid_until = now + kDataCentreAvoidance;
   }
   return best;
@@ -256,10 +270,10 @@
 
 void NoteOpening(PlacedServer& server, TimePoint now) {
   server.in_flight += 1;
-  if (server.unanswered == 0) {
-    server.unanswered_since = now;
+  if (server.pending_openings == 0) {
+    server.pending_since = now;
   }
-  server.unanswered += 1;
+  server.pending_openings += 1;
 }
 
 void NoteAnswered(Placement& placement, ServerIndex index, TimePoint now) {
@@ -267,10 +281,10 @@
   PlacedDataCentre& data_centre = placement.data_centres[server.data_centre];
   data_centre.unanswered_in_row = 0;
   data_centre.avoid_until = {};
-  server.unanswered -= server.unanswered > 0 ? 1 : 0;
-  server.unanswered_since = now;
+  server.pending_openings -= server.pending_openings > 0 ? 1 : 0;
+  server.pending_since = now;
   server.answered_at = now;
-  server.failures_in_row = 0;
+  server.avoidances_in_row = 0;
   server.avoid_until = {};
 }
 
@@ -278,10 +292,10 @@
   PlacedServer& server = placement.servers[index];
   PlacedDataCentre& data_centre = placement.data_centres[server.data_centre];
   data_centre.unanswered_in_row += 1;
-  if (SeemsCutOff(data_centre)) {
+  if (SeemsUnreachable(data_centre)) {
     data_centre.avoid_until = now + kDataCentreAvoidance;
   }
-  server.unanswered -= server.unanswered > 0 ? 1 : 0;
+  server.pending_openings -= server.pending_openings > 0 ? 1 : 0;
   server.in_flight -= server.in_flight > 0 ? 1 : 0;
   if (now >= server.avoid_until) {
     Avoid(server, now);
@@ -293,16 +307,18 @@
   PlacedServer& server = placement.servers[index];
   server.in_flight -= server.in_flight > 0 ? 1 : 0;
   if (!answered) {
-    server.unanswered -= server.unanswered > 0 ? 1 : 0;
+    server.pending_openings -= server.pending_openings > 0 ? 1 : 0;
   }
   if (!duration) {
     return;
   }
   const auto measured = static_cast<double>(duration->count());
-  double& usual = placement.duration_of[server.service];
-  usual = Average(usual, measured, kServiceWeight);
-  server.duration_ms = Average(server.duration_ms, measured, kServerWeight);
-  server.duration_at = now;
+  double& service_mean_ms =
+      placement.mean_duration_ms_by_service[server.service];
+  service_mean_ms = Average(service_mean_ms, measured, kServiceWeight);
+  server.mean_duration_ms =
+      Average(server.mean_duration_ms, measured, kServerWeight);
+  server.duration_updated_at = now;
 }
 
 }  // namespace filbertwall
--- a/Source/Placement/Placement.h
+++ b/Source/Placement/Placement.h
@@ -11,107 +11,127 @@
 #include "Base/Time.h"
 #include "Wire/registry.pb.h"
 
-/// Which backend server gets a new flow, and which flows none can serve.
+/// Load balancing: the choice of a backend server for each new flow.
 ///
-/// An entry instance sees only its own flows: how many of them each server
-/// holds, whether the server accepts them, and how long they last. Plain state
-/// and pure functions; not thread safe.
+/// An entry instance bases the choice on its own flows only: how many each
+/// server has in flight, whether the server accepts them, and how long they
+/// last. Plain state and pure functions; not thread safe.
 namespace filbertwall {
 
 using ServerIndex = std::uint32_t;
 using ServiceIndex = std::uint32_t;
 
-/// A backend server as one entry instance sees it.
+/// The state of a backend server at one entry instance.
 struct PlacedServer {
   std::string id;
-  std::uint64_t number = 0;  ///< The hexadecimal digits of its id.
-  std::uint32_t token = 0;   ///< What flows to it carry.
+  std::uint64_t numeric_id = 0;  ///< `NumberOf` of `id`.
+  /// Identifies the server in the packets of its flows.
+  std::uint32_t token = 0;
   Endpoint address;
   ServiceIndex service = 0;
   std::uint32_t data_centre = 0;  ///< Index into `data_centres`.
   std::uint32_t slots = 1;
   std::uint64_t incarnation = 0;
   bool local = false;   ///< In the data centre of this instance.
-  bool usable = false;  ///< May take new flows.
-  bool failing =
-      false;          ///< Fails callers more often than its service's others.
-  TimePoint warm_at;  ///< Works slowly until then.
-
-  std::uint32_t in_flight = 0;   ///< Flows of this instance.
-  std::uint32_t unanswered = 0;  ///< Opening packets without a follow-up.
-  TimePoint unanswered_since;    ///< The first of them.
-  TimePoint answered_at;         ///< Last opening that was answered.
-  TimePoint avoid_until;
-  std::uint32_t failures_in_row = 0;
-  double duration_ms = 0;  ///< Moving average of its flows; 0: not known.
-  TimePoint duration_at;   ///< When it was last measured.
+  bool usable = false;  ///< Ready and not silent.
+  /// Fails more requests than the other servers of its service.
+  bool failing = false;
+  TimePoint warmup_ends_at;  ///< The server is slower until this time.
+
+  std::uint32_t in_flight = 0;  ///< Flows of this instance.
+  /// Opening packets sent to the server whose flows are not yet accepted.
+  std::uint32_t pending_openings = 0;
+  /// When the first pending opening packet was sent, or when the server
+  /// accepted a flow after that.
+  TimePoint pending_since;
+  TimePoint answered_at;  ///< When the server last accepted a flow.
+  TimePoint avoid_until;  ///< Used before this time only without alternative.
+  /// Number of avoidance periods since the server last accepted a flow.
+  std::uint32_t avoidances_in_row = 0;
+  /// Moving average of flow durations; 0 when there is no measurement.
+  double mean_duration_ms = 0;
+  TimePoint duration_updated_at;
 };
 
-/// A data centre as one entry instance reaches it.
+/// The state of a data centre at one entry instance.
 struct PlacedDataCentre {
   std::string name;
-  std::uint32_t unanswered_in_row = 0;  ///< Openings, over all its servers.
+  /// Unanswered opening packets to all its servers since the last accepted
+  /// flow.
+  std::uint32_t unanswered_in_row = 0;
+  /// Servers there are used before this time only without alternative.
   TimePoint avoid_until;
 };
 
 struct PlacementConfig {
   std::string data_centre;
-  std::uint64_t seed = 0;  ///< Differs between instances.
+  std::uint64_t seed = 0;  ///< Must differ between instances.
 };
 
 struct Placement {
   PlacementConfig config;
-  std::vector<PlacedServer> servers;  ///< Never shrinks; indices stay valid.
+  /// Entries are never removed, so indices stay valid.
+  std::vector<PlacedServer> servers;
   std::vector<PlacedDataCentre> data_centres;
   std::unordered_map<std::string, ServerIndex> by_id;
   std::unordered_map<std::uint32_t, ServerIndex> by_token;
   std::unordered_map<std::string, ServiceIndex> services;
-  std::vector<std::vector<ServerIndex>> usable_of;   ///< By service.
-  std::vector<std::vector<ServerIndex>> failing_of;  ///< Those of `usable_of`.
-  std::vector<double> duration_of;  ///< Moving average by service, in ms.
-  std::uint64_t draws = 0;          ///< Drives the choice among equals.
+  /// Servers that may be chosen, by service.
+  std::vector<std::vector<ServerIndex>> usable_by_service;
+  /// The failing servers of `usable_by_service`.
+  std::vector<std::vector<ServerIndex>> failing_by_service;
+  /// Moving average of flow durations by service; 0 without a measurement.
+  std::vector<double> mean_duration_ms_by_service;
+  /// Random numbers drawn so far; input to the next one.
+  std::uint64_t draw_count = 0;
 };
 
-/// The number that an id's hexadecimal digits form; the last 16 count.
+/// Returns the number formed by the last 16 hexadecimal digits of a server id;
+/// skips all other characters.
 std::uint64_t NumberOf(std::string_view id);
 
-/// Gives the index of a service, a new one when its name is new.
+/// Returns the index of a service; adds the service when its name is unknown.
 ServiceIndex InternService(Placement& placement, const std::string& name);
 
-/// Takes what is known of a server by now. Precondition: `record` is the latest
-/// of its id, as the registry merged it.
+/// Adds or updates a server. Precondition: `record` is the result of merging
+/// all records of its id in the registry.
 void UpdateServer(Placement& placement, const wire::ServerRecord& record,
                   TimePoint now);
 
-/// Recomputes which servers may take new flows. Of several at one address only
-/// the latest incarnation may. Call after a group of `UpdateServer`.
+/// Recomputes which servers may be chosen. Of several servers with the same
+/// address, only the one with the latest incarnation may. Call after a series
+/// of `UpdateServer` calls.
 void RefreshUsable(Placement& placement);
 
-/// What is to be placed.
+/// A new flow for which a server is to be chosen.
 struct NewFlow {
   ServiceIndex service = 0;
-  std::optional<ServerIndex> except;  ///< Did not answer the flow's opening.
-  bool repeatable = false;  ///< Its caller may send its request again.
+  /// The server that did not answer the flow's previous opening packet.
+  std::optional<ServerIndex> except;
+  bool repeatable = false;  ///< The caller may retry the request.
 };
 
-/// The server for a new flow, preferably another than `except`. A server that
-/// fails its callers gets a few flows whose requests may be repeated, so that
-/// it shows when it is well again. Empty when the service has none that may
-/// take it.
+/// Returns the server for a new flow; empty when the service has no usable
+/// server. `flow.except` is chosen only without a better alternative. A failing
+/// server still gets a few flows whose requests may be retried, so that its
+/// recovery can be detected.
 std::optional<ServerIndex> ChooseServer(Placement& placement,
                                         const NewFlow& flow, TimePoint now);
 
-/// The server whose flows carry `token`.
+/// Returns the server whose flows carry `token`.
 std::optional<ServerIndex> FindByToken(const Placement& placement,
                                        std::uint32_t token);
 
-/// An opening packet goes to the server.
+/// Records that an opening packet is sent to the server.
 void NoteOpening(PlacedServer& server, TimePoint now);
-/// The caller went on, so the server has accepted the flow.
+/// Records that the server has accepted a flow, as shown by a later packet of
+/// the caller.
 void NoteAnswered(Placement& placement, ServerIndex index, TimePoint now);
-/// The caller sent its opening packet again, so the server has not answered.
+/// Records that the server did not answer an opening packet, as shown by its
+/// retransmission by the caller.
 void NoteUnanswered(Placement& placement, ServerIndex index, TimePoint now);
-/// A flow has ended; `duration` is empty when it was given up.
+/// Records the end of a flow. `answered` tells whether the server had accepted
+/// it; `duration` is empty when the flow was aborted or expired.
 void NoteEnded(Placement& placement, ServerIndex index, bool answered,
                std::optional<Milliseconds> duration, TimePoint now);
 
--- a/Tests/Placement/PlacementTest.cc
+++ b/Tests/Placement/PlacementTest.cc
@@ -49,14 +49,14 @@
   }
 };
 
-TEST(Placement, NumberIsMadeOfHexadecimalDigits) {
+TEST(Placement, ParsesTheHexadecimalDigitsOfAnId) {
   CHECK_EQUAL(0x7f3a91c2U, NumberOf("i-7f3a91c2"));
   CHECK_EQUAL(0x92c3923b0dU, NumberOf("i-92c3923b0d"));
   CHECK_EQUAL(0xABCU, NumberOf("x-ABC"));
   CHECK_EQUAL(0U, NumberOf("x-yz"));
 }
 
-TEST(Placement, NearServersComeFirstUntilTheyAreBusy) {
+TEST(Placement, PrefersLocalServersUntilTheyAreBusy) {
   this->Add(MakeRecord("a1", 1, "here"));
   this->Add(MakeRecord("b2", 2, "there"));
   STRCMP_EQUAL("a1", this->Choose().c_str());
@@ -64,7 +64,7 @@
   STRCMP_EQUAL("b2", this->Choose().c_str());
 }
 
-TEST(Placement, EqualServersShareTheWork) {
+TEST(Placement, DistributesFlowsOverEqualServers) {
   for (int i = 0; i < 4; ++i) {
     this->Add(MakeRecord("a" + std::to_string(i),
                          static_cast<std::uint32_t>(1 + i), "here"));
@@ -79,7 +79,7 @@
   LONGS_EQUAL(4, chosen.size());
 }
 
-TEST(Placement, ServersThatLeaveOrAreSilentGetNothing) {
+TEST(Placement, DoesNotChooseDrainingOrSilentServers) {
   this->Add(MakeRecord("a1", 1, "here"));
   wire::ServerRecord record = MakeRecord("a1", 1, "here");
   record.set_phase(wire::SERVER_DRAINING);
@@ -94,7 +94,7 @@
   STRCMP_EQUAL("a1", this->Choose().c_str());
 }
 
-TEST(Placement, OfTwoAtOneAddressTheLaterIsUsed) {
+TEST(Placement, ChoosesTheLatestIncarnationAtAnAddress) {
   this->Add(MakeRecord("a1", 1, "here", 10));
   this->Add(MakeRecord("a2", 1, "here", 20));
   for (int i = 0; i < 50; ++i) {
@@ -106,7 +106,7 @@
   }
 }
 
-TEST(Placement, TokensOfTwoServersAreNeverTheSame) {
+TEST(Placement, ExcludesAServerWhoseTokenIsTaken) {
   this->Add(MakeRecord("i-0100000001", 1, "here"));
   this->Add(MakeRecord("i-0200000001", 2, "here"));
   for (int i = 0; i < 50; ++i) {
@@ -114,28 +114,28 @@
   }
 }
 
-TEST(Placement, AServerThatDoesNotAnswerIsLeftOutForAWhile) {
+TEST(Placement, AvoidsAnUnansweringServerForALimitedTime) {
   this->Add(MakeRecord("a1", 1, "here"));
   this->Add(MakeRecord("b2", 2, "here"));
   NoteOpening(this->Server("a1"), kStart);
-  const TimePoint soon = kStart + Milliseconds(60);
+  const TimePoint after_timeout = kStart + Milliseconds(60);
   for (int i = 0; i < 50; ++i) {
-    STRCMP_EQUAL("b2", this->Choose(soon).c_str());
+    STRCMP_EQUAL("b2", this->Choose(after_timeout).c_str());
   }
-  NoteUnanswered(this->placement, this->Index("a1"), soon);
+  NoteUnanswered(this->placement, this->Index("a1"), after_timeout);
   this->Server("b2").in_flight = 2;
-  STRCMP_EQUAL("b2", this->Choose(soon).c_str());
-  STRCMP_EQUAL("a1", this->Choose(soon + Milliseconds(400)).c_str());
+  STRCMP_EQUAL("b2", this->Choose(after_timeout).c_str());
+  STRCMP_EQUAL("a1", this->Choose(after_timeout + Milliseconds(400)).c_str());
 }
 
-TEST(Placement, WithoutAnotherEvenASilentServerIsTried) {
+TEST(Placement, ChoosesAnAvoidedServerWithoutAlternative) {
   this->Add(MakeRecord("a1", 1, "here"));
   NoteOpening(this->Server("a1"), kStart);
   NoteUnanswered(this->placement, this->Index("a1"), kStart);
   STRCMP_EQUAL("a1", this->Choose(kStart + Milliseconds(1)).c_str());
 }
 
-TEST(Placement, ARestartedServerStartsWithACleanRecord) {
+TEST(Placement, ARestartEndsTheAvoidanceOfAServer) {
   this->Add(MakeRecord("a1", 1, "here"));
   NoteOpening(this->Server("a1"), kStart);
   NoteUnanswered(this->placement, this->Index("a1"), kStart);
@@ -143,8 +143,9 @@
   CHECK(this->Server("a1").avoid_until == TimePoint());
 }
 
-TEST(Placement, AServerThatOthersKeepBusyGetsLess) {
-  // Other instances fill the near server; only the time that flows last shows.
+TEST(Placement, PlacesFewerFlowsOnAServerThatOthersLoad) {
+  // Flows of other instances load the local server, which this instance can
+  // detect only by the duration of its own flows.
   this->Add(MakeRecord("a1", 1, "here"));
   this->Add(MakeRecord("b2", 2, "there"));
   for (int i = 0; i < 200; ++i) {
@@ -156,12 +157,12 @@
               Milliseconds(200), kStart);
   }
   STRCMP_EQUAL("b2", this->Choose().c_str());
-  // It is tried again once the measurement is old.
+  // The server is used again once the measurement is outdated.
   STRCMP_EQUAL("a1", this->Choose(kStart + Milliseconds(4000)).c_str());
 }
 
-TEST(Placement, ADataCentreThatIsCutOffIsTriedByOneFlowASecond) {
-  // A cut: openings to "there" stay unanswered, those to "here" are answered.
+TEST(Placement, ProbesAnUnreachableDataCentreWithOneFlowPerSecond) {
+  // A network partition: only opening packets to "here" are answered.
   for (int i = 0; i < 8; ++i) {
     this->Add(MakeRecord("b" + std::to_string(i),
                          static_cast<std::uint32_t>(10 + i), "there"));
@@ -174,7 +175,7 @@
     NoteOpening(this->placement.servers[index], now);
     if (this->placement.servers[index].local) {
       NoteAnswered(this->placement, index, now);
-      // The near server is busy, so the others look better.
+      // The local server is busy, so that the remote ones have lower costs.
       this->placement.servers[index].in_flight = 5;
     } else {
       NoteUnanswered(this->placement, index, now);
@@ -183,17 +184,17 @@
   }
   CHECK(lost >= 3);
   CHECK(lost <= 3 + 6);
-  // It is used again after its first answer.
-  const ServerIndex back = this->Index("b0");
-  NoteOpening(this->placement.servers[back], kStart);
-  NoteAnswered(this->placement, back, kStart + std::chrono::seconds(6));
+  // The data centre is used again after its first answer.
+  const ServerIndex recovered = this->Index("b0");
+  NoteOpening(this->placement.servers[recovered], kStart);
+  NoteAnswered(this->placement, recovered, kStart + std::chrono::seconds(6));
   CHECK(this->Choose(kStart + std::chrono::seconds(7)) != "a1");
 }
 
-TEST(Placement, AServerThatDiesWithOpeningsPendingIsLeftOutAtOnce) {
+TEST(Placement, AvoidsAServerThatFailsWithPendingOpenings) {
   this->Add(MakeRecord("a1", 1, "here"));
   this->Add(MakeRecord("b2", 2, "here"));
-  // Of two openings one is answered; then the server dies.
+  // The server answers one of two opening packets and then fails.
   NoteOpening(this->Server("a1"), kStart);
   NoteOpening(this->Server("a1"), kStart);
   NoteAnswered(this->placement, this->Index("a1"), kStart + Milliseconds(5));
@@ -202,7 +203,7 @@
   STRCMP_EQUAL("b2", this->Choose(kStart + Milliseconds(60)).c_str());
 }
 
-TEST(Placement, AFailingServerGetsFewFlowsAndOnlyThoseThatMayBeRepeated) {
+TEST(Placement, AFailingServerGetsFewFlowsAndOnlyRetryableOnes) {
   for (int i = 0; i < 4; ++i) {
     wire::ServerRecord record = MakeRecord(
         "a" + std::to_string(i), static_cast<std::uint32_t>(1 + i), "here");
@@ -225,7 +226,7 @@
   CHECK(repeatable < kFlows / 4 / 6);
 }
 
-TEST(Placement, AFailingServerIsUsedWhenThereIsNoOther) {
+TEST(Placement, ChoosesAFailingServerWithoutAlternative) {
   wire::ServerRecord record = MakeRecord("a1", 1, "here");
   record.set_failing(true);
   this->Add(record);
