--- a/Source/Admission/Admission.cc
+++ b/Source/Admission/Admission.cc
@@ -8,72 +8,86 @@
 namespace filbertwall {
 namespace {
 
-/// Expected slowness up to which nothing is refused, and from which on all is.
+/// The refused share rises linearly from 0 to 1 between these two values of the
+/// expected slowness.
 struct RefusalRange {
   double none_refused = 0;
   double all_refused = 0;
 };
-constexpr RefusalRange kRepeatable{.none_refused = 0.4, .all_refused = 0.65};
-constexpr RefusalRange kOrders{.none_refused = 0.65, .all_refused = 1.0};
+constexpr RefusalRange kRetryable{.none_refused = 0.4, .all_refused = 0.65};
+constexpr RefusalRange kNonRetryable{.none_refused = 0.65, .all_refused = 1.0};
 
-/// Flows that last longer show a queue.
+/// A higher slowness shows that requests wait in the queues of the servers.
 constexpr double kQueueingSlowness = 0.45;
-constexpr double kMostSlowness = 1.5;
-/// In which what has ended counts by e-fold less.
-constexpr Milliseconds kFadeTime{300};
+constexpr double kMaxSlowness = 1.5;
+/// Time constant of the exponential decay of `recent_ends`.
+constexpr Milliseconds kEndsDecayTime{300};
+/// Weight of a new duration in the moving averages.
 constexpr double kDurationWeight = 0.15;
-/// Flows in flight whose number tells as much as the last durations.
-constexpr double kTellingFlows = 6;
-/// The same when the queue seems to have gone since those ended: their
-/// durations are as old as they are long.
-constexpr double kTellingFlowsWhenFewer = 0.5;
-/// Pauses between ends that are nothing unusual, in mean pauses.
-constexpr double kUsualPauses = 3;
-/// In which durations count by e-fold less, beyond those pauses.
-constexpr Milliseconds kForgetTime{150};
-/// Without an end for so long, nothing is known.
-constexpr Milliseconds kMemory{1500};
+/// Number of flows in flight at which the estimate from the flows in flight has
+/// the same weight as the estimate from recent durations.
+constexpr double kEqualWeightFlows = 6;
+/// The same when the estimate from the flows in flight is lower. The queue has
+/// probably become shorter then, while the durations still include waiting
+/// times from when the ended flows were opened.
+constexpr double kEqualWeightFlowsWhenShorter = 0.5;
+/// A time without ended flows is normal up to this multiple of the mean
+/// interval between ends.
+constexpr double kNormalIntervals = 3;
+/// Time constant of the exponential decay of `slowness` beyond that time.
+constexpr Milliseconds kSlownessDecayTime{150};
+/// Measurements are ignored when no flow has ended for longer than this.
+constexpr Milliseconds kMaxMeasurementAge{1500};
 constexpr std::uint64_t kDrawRange = 1U << 20U;
 
-ServicePace& PaceOf(Admission& admission, std::uint32_t service) {
+ServicePace& MeasurementsOf(Admission& admission, std::uint32_t service) {
   if (service >= admission.services.size()) {
     admission.services.resize(service + 1);
   }
   return admission.services[service];
 }
 
-double CountOf(Milliseconds time) { return static_cast<double>(time.count()); }
+double ToDouble(Milliseconds time) { return static_cast<double>(time.count()); }
 
-/// Flows that ended lately.
-double EndedBy(const ServicePace& pace, TimePoint now) {
-  const double passed =
-      std::chrono::duration<double, std::milli>(now - pace.ended_at).count();
-  return pace.ended * std::exp(-passed / CountOf(kFadeTime));
+/// Returns the decayed number of flows that ended, at `now`.
+double RecentEnds(const ServicePace& measurements, TimePoint now) {
+  const double elapsed_ms =
+      std::chrono::duration<double, std::milli>(now - measurements.last_end_at)
+          .count();
+  return measurements.recent_ends *
+         std::exp(-elapsed_ms / ToDouble(kEndsDecayTime));
 }
 
-bool IsKnown(const ServicePace& pace, TimePoint now) {
-  return pace.objective_ms > 0 && now - pace.ended_at <= kMemory;
+bool HasRecentMeasurements(const ServicePace& measurements, TimePoint now) {
+  return measurements.objective_ms > 0 &&
+         now - measurements.last_end_at <= kMaxMeasurementAge;
 }
 
-/// How long the flows in flight will take to end, as a share of the objective.
-double SlownessByNumber(const ServicePace& pace, TimePoint now) {
-  const double ended_per_ms = EndedBy(pace, now) / CountOf(kFadeTime);
-  const double wait_ms = pace.in_flight / ended_per_ms;
-  return std::min(kMostSlowness, wait_ms / pace.objective_ms);
+/// Returns the time in which the flows in flight will end at the current rate,
+/// divided by the objective.
+double SlownessFromInFlight(const ServicePace& measurements, TimePoint now) {
+  const double ends_per_ms =
+      RecentEnds(measurements, now) / ToDouble(kEndsDecayTime);
+  const double wait_ms = measurements.in_flight / ends_per_ms;
+  return std::min(kMaxSlowness, wait_ms / measurements.objective_ms);
 }
 
-/// The moving average of durations, which counts for less once no flow has
-/// ended for longer than usual.
-double SlownessLately(const ServicePace& pace, TimePoint now) {
-  const double silence =
-      std::chrono::duration<double, std::milli>(now - pace.ended_at).count();
-  const double usual_pause = CountOf(kFadeTime) / pace.ended;
-  const double excess = std::max(0.0, silence - kUsualPauses * usual_pause);
-  return pace.slowness * std::exp(-excess / CountOf(kForgetTime));
+/// Returns the moving average of durations divided by the objective. It decays
+/// once no flow has ended for an unusually long time.
+double SlownessFromDurations(const ServicePace& measurements, TimePoint now) {
+  const double since_end_ms =
+      std::chrono::duration<double, std::milli>(now - measurements.last_end_at)
+          .count();
+  const double mean_interval_ms =
+      ToDouble(kEndsDecayTime) / measurements.recent_ends;
+  const double excess_ms =
+      std::max(0.0, since_end_ms - kNormalIntervals * mean_interval_ms);
+  return measurements.slowness *
+         std::exp(-excess_ms / ToDouble(kSlownessDecayTime));
 }
 
-/// The share that is admitted.
-double ShareOf(const RefusalRange& range, double slowness) {
+/// Returns the share of flows to admit.
+double AdmittedShare(const RefusalRange& range, double slowness) {
   const double width = range.all_refused - range.none_refused;
   return std::clamp((range.all_refused - slowness) / width, 0.0, 1.0);
 }
@@ -89,32 +103,36 @@
   if (service >= admission.services.size()) {
     return 0;
   }
-  const ServicePace& pace = admission.services[service];
-  if (!IsKnown(pace, now)) {
+  const ServicePace& measurements = admission.services[service];
+  if (!HasRecentMeasurements(measurements, now)) {
     return 0;
   }
-  const double lately = SlownessLately(pace, now);
-  if (lately < kQueueingSlowness) {
-    return lately;
+  const double from_durations = SlownessFromDurations(measurements, now);
+  if (from_durations < kQueueingSlowness) {
+    return from_durations;
   }
-  const double by_number = SlownessByNumber(pace, now);
-  const double telling =
-      by_number < lately ? kTellingFlowsWhenFewer : kTellingFlows;
-  const double trust = pace.in_flight / (pace.in_flight + telling);
-  return trust * by_number + (1 - trust) * lately;
+  const double from_in_flight = SlownessFromInFlight(measurements, now);
+  const double equal_weight_flows = from_in_flight < from_durations
+                                        ? kEqualWeightFlowsWhenShorter
+                                        : kEqualWeightFlows;
+  const double in_flight_weight =
+      measurements.in_flight / (measurements.in_flight + equal_weight_flows);
+  return in_flight_weight * from_in_flight +
+         (1 - in_flight_weight) * from_durations;
 }
 
 bool Admit(Admission& admission, const AdmissionRequest& request,
            TimePoint now) {
   const double slowness = ExpectedSlowness(admission, request.service, now);
   const double share =
-      ShareOf(request.repeatable ? kRepeatable : kOrders, slowness);
+      AdmittedShare(request.repeatable ? kRetryable : kNonRetryable, slowness);
   const std::uint64_t draw =
       MixHash(request.caller, admission.round) % kDrawRange;
-  // One that holds nothing of a service can't be the one that fills it, and
-  // would otherwise not see that it has room again.
-  const bool admitted = PaceOf(admission, request.service).in_flight == 0 ||
-                        static_cast<double>(draw) < share * kDrawRange;
+  // An instance without flows in flight does not contribute to the overload.
+  // If it refused every flow, it could not detect the end of the overload.
+  const bool admitted =
+      MeasurementsOf(admission, request.service).in_flight == 0 ||
+      static_cast<double>(draw) < share * kDrawRange;
   AdmissionCounters& counters = admission.counters;
   counters.admitted += admitted ? 1 : 0;
   counters.refused += admitted ? 0 : 1;
@@ -123,33 +141,34 @@
 }
 
 void NoteBegun(Admission& admission, std::uint32_t service) {
-  PaceOf(admission, service).in_flight += 1;
+  MeasurementsOf(admission, service).in_flight += 1;
 }
 
 void NoteLeft(Admission& admission, std::uint32_t service) {
-  ServicePace& pace = PaceOf(admission, service);
-  pace.in_flight -= pace.in_flight > 0 ? 1 : 0;
+  ServicePace& measurements = MeasurementsOf(admission, service);
+  measurements.in_flight -= measurements.in_flight > 0 ? 1 : 0;
 }
 
 void NoteServed(Admission& admission, std::uint32_t service,
                 Milliseconds duration, Milliseconds objective, TimePoint now) {
-  ServicePace& pace = PaceOf(admission, service);
-  const double slowness = CountOf(duration) / CountOf(objective);
-  if (IsKnown(pace, now)) {
-    pace.ended = EndedBy(pace, now) + 1;
-    pace.slowness = Average(pace.slowness, slowness);
-    pace.objective_ms = Average(pace.objective_ms, CountOf(objective));
+  ServicePace& measurements = MeasurementsOf(admission, service);
+  const double slowness = ToDouble(duration) / ToDouble(objective);
+  if (HasRecentMeasurements(measurements, now)) {
+    measurements.recent_ends = RecentEnds(measurements, now) + 1;
+    measurements.slowness = Average(measurements.slowness, slowness);
+    measurements.objective_ms =
+        Average(measurements.objective_ms, ToDouble(objective));
   } else {
-    pace.ended = 1;
-    pace.slowness = slowness;
-    pace.objective_ms = CountOf(objective);
+    measurements.recent_ends = 1;
+    measurements.slowness = slowness;
+    measurements.objective_ms = ToDouble(objective);
   }
-  pace.ended_at = now;
+  measurements.last_end_at = now;
 }
 
 void ForgetMeasured(Admission& admission) {
-  for (ServicePace& pace : admission.services) {
-    pace.objective_ms = 0;
+  for (ServicePace& measurements : admission.services) {
+    measurements.objective_ms = 0;
   }
 }
 
--- a/Source/Admission/Admission.h
+++ b/Source/Admission/Admission.h
@@ -5,38 +5,46 @@
 
 #include "Base/Time.h"
 
-/// Which new flows are refused, since the servers of their service have more
-/// work than they can do in time.
+/// Admission control: refuses new flows of services that are overloaded.
 ///
-/// Load that it answers: for seconds a service is offered more than it can do;
-/// its servers' queues are full, and every answer comes after its latency
-/// objective. When the excess is refused at once, the rest is answered in time.
+/// When a service receives more requests than its servers can process for some
+/// seconds, the queues of the servers fill and every answer misses its latency
+/// objective. Refusing the excess at once lets the remaining requests be
+/// answered in time.
 ///
-/// What it goes by: how long flows take, as a share of their objective, by the
-/// flows that have ended and by those in flight at the rate at which they end
-/// (Little's law). That is what callers get, so nothing is refused while
-/// servers have room, whatever an instance knows or does not know of them.
+/// The decision is based on flow durations relative to their latency objective.
+/// They are estimated from flows that have ended and, by Little's law, from the
+/// flows in flight and the rate at which flows end. Since this is the latency
+/// that callers experience, nothing is refused while servers have spare
+/// capacity, even when an instance has incomplete knowledge of the servers.
 /// Plain state and pure functions; not thread safe.
 namespace filbertwall {
 
-/// A service as one entry instance sees it.
+/// What one entry instance has measured of the flows of a service.
 struct ServicePace {
-  std::uint32_t in_flight = 0;  ///< Accepted by a server, not ended nor late.
-  double ended = 0;             ///< Flows that ended, fading with time.
-  double slowness = 0;          ///< Moving average of duration by objective.
-  double objective_ms = 0;      ///< Moving average.
-  TimePoint ended_at;           ///< The last of them.
+  /// Flows that a server has accepted and that have neither ended nor become
+  /// overdue.
+  std::uint32_t in_flight = 0;
+  /// Flows that ended, with exponentially decaying weight.
+  double recent_ends = 0;
+  /// Moving average of the duration divided by the objective.
+  double slowness = 0;
+  /// Moving average of the objective; 0 when nothing is measured.
+  double objective_ms = 0;
+  TimePoint last_end_at;
 };
 
 struct AdmissionCounters {
   std::uint64_t admitted = 0;
   std::uint64_t refused = 0;
-  std::uint64_t refused_orders = 0;  ///< Of them, not to be repeated.
+  /// Refused flows whose requests must not be retried.
+  std::uint64_t refused_orders = 0;
 };
 
 struct Admission {
-  std::vector<ServicePace> services;  ///< By index of the service.
-  /// Who is refused first changes with it; the same at all instances.
+  std::vector<ServicePace> services;  ///< By service index.
+  /// Determines which callers are refused first. Must be the same at all
+  /// instances.
   std::uint64_t round = 0;
   AdmissionCounters counters;
 };
@@ -44,37 +52,37 @@
 /// A flow that is about to be opened.
 struct AdmissionRequest {
   std::uint32_t service = 0;
-  std::uint32_t caller = 0;  ///< Its IPv4 address.
-  bool repeatable = false;   ///< Its caller may send its request again.
+  std::uint32_t caller = 0;  ///< IPv4 address of the caller.
+  bool repeatable = false;   ///< The caller may retry the request.
 };
 
-/// How long a flow that is opened now will probably take, as a share of its
-/// objective; 0 when nothing is known.
+/// Returns the expected duration of a flow that is opened now, divided by its
+/// objective; 0 when there is no recent measurement.
 double ExpectedSlowness(const Admission& admission, std::uint32_t service,
                         TimePoint now);
 
-/// Whether the flow is admitted. Of repeatable requests and of orders, whose
-/// requests may not be repeated, a share is refused that grows with the
-/// expected slowness; orders come second. Within a round the same callers are
-/// refused by all instances: what they send again would be refused as well,
-/// instead of taking the place of one that can be in time.
+/// Returns whether the flow is admitted. The refused share of flows grows with
+/// the expected slowness. Flows whose requests must not be retried are refused
+/// only at a higher slowness than others. Within a round all instances refuse
+/// the same callers: a retry is refused as well instead of replacing a request
+/// that could be answered in time.
 bool Admit(Admission& admission, const AdmissionRequest& request,
            TimePoint now);
 
-/// A server has accepted a flow.
+/// Adds a flow that a server has accepted to the flows in flight.
 void NoteBegun(Admission& admission, std::uint32_t service);
 
-/// A flow that had begun is over without an answer, or counts as late.
+/// Removes a flow from the flows in flight, because it has ended or is overdue.
 void NoteLeft(Admission& admission, std::uint32_t service);
 
-/// A flow that had begun has ended in time or a little late, `duration` after
-/// it was opened; also call `NoteLeft` for it. Precondition: `objective` is
+/// Records the duration of a flow that has ended and was not overdue.
+/// `NoteLeft` must be called for it as well. Precondition: `objective` is
 /// positive.
 void NoteServed(Admission& admission, std::uint32_t service,
                 Milliseconds duration, Milliseconds objective, TimePoint now);
 
-/// Forgets what was measured: this instance stood still, and what it sees of
-/// the flows of that time says nothing of the servers.
+/// Discards all measurements. Called after the process was stalled, since the
+/// durations measured during a stall do not show the speed of the servers.
 void ForgetMeasured(Admission& admission);
 
 }  // namespace filbertwall
--- a/Tests/Admission/AdmissionTest.cc
+++ b/Tests/Admission/AdmissionTest.cc
@@ -24,10 +24,10 @@
   }
 }
 
-/// Flows that each last `duration`, one each millisecond for `time`, and as
-/// many in flight all the while as that takes.
-TimePoint Serve(Admission& admission, Milliseconds duration, Milliseconds time,
-                TimePoint now) {
+/// Records one flow end per millisecond for `time`, each with `duration`, and
+/// keeps the matching number of flows in flight. Returns the time after that.
+TimePoint ServeFlows(Admission& admission, Milliseconds duration,
+                     Milliseconds time, TimePoint now) {
   SetInFlight(admission, static_cast<std::uint32_t>(duration.count()));
   for (Milliseconds passed{0}; passed < time; passed += Milliseconds(1)) {
     now += Milliseconds(1);
@@ -36,7 +36,7 @@
   return now;
 }
 
-/// The share of callers whose flows are admitted.
+/// Returns the share of callers whose flows are admitted.
 double ShareAdmitted(Admission& admission, bool repeatable, TimePoint now) {
   double admitted = 0;
   for (std::uint32_t caller = 0; caller < kCallers; ++caller) {
@@ -47,50 +47,51 @@
   return admitted / kCallers;
 }
 
-double InTime(const OverloadOutcome& outcome) {
+/// Returns the requests answered in time as a share of what was possible.
+double InTimeShare(const OverloadOutcome& outcome) {
   return outcome.in_time / std::min<double>(outcome.capacity, outcome.asked);
 }
 
-constexpr OverloadPolicy kBefore{.admission = false};
-constexpr OverloadPolicy kNow{.admission = true};
+constexpr OverloadPolicy kWithoutAdmission{.admission = false};
+constexpr OverloadPolicy kWithAdmission{.admission = true};
 
 }  // namespace
 
 TEST_GROUP(Admission){};
 
-TEST(Admission, NothingIsRefusedByAnInstanceThatKnowsNothing) {
+TEST(Admission, AdmitsAllWithoutMeasurements) {
   Admission admission;
   DOUBLES_EQUAL(1, ShareAdmitted(admission, true, kStart), 0);
-  // Many flows in flight alone show no queue: none has ended yet.
+  // Flows in flight alone do not show a queue while none has ended.
   for (int i = 0; i < 500; ++i) {
     NoteBegun(admission, 0);
   }
   DOUBLES_EQUAL(1, ShareAdmitted(admission, true, kStart), 0);
 }
 
-TEST(Admission, NothingIsRefusedWhileAnswersComeInTime) {
+TEST(Admission, AdmitsAllWhileAnswersAreInTime) {
   Admission admission;
   const TimePoint now =
-      Serve(admission, Milliseconds(35), Milliseconds(500), kStart);
+      ServeFlows(admission, Milliseconds(35), Milliseconds(500), kStart);
   for (int i = 0; i < 500; ++i) {
     NoteBegun(admission, 0);
   }
   DOUBLES_EQUAL(1, ShareAdmitted(admission, true, now), 0);
 }
 
-TEST(Admission, TheExcessIsRefusedAndOrdersLast) {
+TEST(Admission, RefusesRetryableRequestsFirst) {
   Admission admission;
   const TimePoint now =
-      Serve(admission, Milliseconds(52), Milliseconds(1500), kStart);
+      ServeFlows(admission, Milliseconds(52), Milliseconds(1500), kStart);
   const double share = ShareAdmitted(admission, true, now);
   CHECK(share > 0 && share < 1);
   DOUBLES_EQUAL(1, ShareAdmitted(admission, false, now), 0);
 }
 
-TEST(Admission, FlowsInFlightTellBeforeTheyEnd) {
+TEST(Admission, ExpectsMoreSlownessAsFlowsInFlightIncrease) {
   Admission admission;
   const TimePoint now =
-      Serve(admission, Milliseconds(46), Milliseconds(500), kStart);
+      ServeFlows(admission, Milliseconds(46), Milliseconds(500), kStart);
   const double before = ExpectedSlowness(admission, 0, now);
   for (int i = 0; i < 90; ++i) {
     NoteBegun(admission, 0);
@@ -98,12 +99,12 @@
   CHECK(ExpectedSlowness(admission, 0, now) > before + 0.2);
 }
 
-TEST(Admission, TheSameCallersAreRefusedWithinARound) {
+TEST(Admission, RefusesTheSameCallersWithinARound) {
   Admission one;
   Admission other;
   const TimePoint now =
-      Serve(one, Milliseconds(52), Milliseconds(1500), kStart);
-  Serve(other, Milliseconds(52), Milliseconds(1500), kStart);
+      ServeFlows(one, Milliseconds(52), Milliseconds(1500), kStart);
+  ServeFlows(other, Milliseconds(52), Milliseconds(1500), kStart);
   bool next_round_differs = false;
   for (std::uint32_t caller = 0; caller < kCallers; ++caller) {
     one.round = 1;
@@ -118,34 +119,34 @@
   CHECK(next_round_differs);
 }
 
-TEST(Admission, AnInstanceWithNothingInFlightAdmits) {
+TEST(Admission, AdmitsAllWithoutFlowsInFlight) {
   Admission admission;
   const TimePoint now =
-      Serve(admission, Milliseconds(140), Milliseconds(500), kStart);
+      ServeFlows(admission, Milliseconds(140), Milliseconds(500), kStart);
   SetInFlight(admission, 0);
   DOUBLES_EQUAL(1, ShareAdmitted(admission, true, now), 0);
 }
 
-TEST(Admission, AQueueThatHasGoneIsNotBelievedForLong) {
+TEST(Admission, AdmitsAllSoonAfterFlowsInFlightDecrease) {
   Admission admission;
   const TimePoint now =
-      Serve(admission, Milliseconds(140), Milliseconds(500), kStart);
+      ServeFlows(admission, Milliseconds(140), Milliseconds(500), kStart);
   SetInFlight(admission, 5);
   DOUBLES_EQUAL(1, ShareAdmitted(admission, true, now), 0);
 }
 
-TEST(Admission, WhatWasSlowIsForgottenWhenNoFlowEndsAnyMore) {
+TEST(Admission, SlownessDecaysWhenNoFlowEnds) {
   Admission admission;
   const TimePoint now =
-      Serve(admission, Milliseconds(140), Milliseconds(500), kStart);
+      ServeFlows(admission, Milliseconds(140), Milliseconds(500), kStart);
   CHECK(ShareAdmitted(admission, true, now) < 0.1);
   DOUBLES_EQUAL(1, ShareAdmitted(admission, true, now + Milliseconds(400)), 0);
 }
 
-TEST(Admission, OldMeasurementsRefuseNobody) {
+TEST(Admission, IgnoresOutdatedAndDiscardedMeasurements) {
   Admission admission;
   const TimePoint now =
-      Serve(admission, Milliseconds(140), Milliseconds(500), kStart);
+      ServeFlows(admission, Milliseconds(140), Milliseconds(500), kStart);
   CHECK(ShareAdmitted(admission, true, now) < 0.1);
   DOUBLES_EQUAL(
       1, ShareAdmitted(admission, true, now + std::chrono::seconds(2)), 0);
@@ -153,55 +154,55 @@
   DOUBLES_EQUAL(1, ShareAdmitted(admission, true, now), 0);
 }
 
-TEST(Admission, RecoversWithin200MillisecondsOfTheLoad) {
+TEST(Admission, AdmitsAllWithin200MillisecondsAfterTheOverload) {
   Admission admission;
   TimePoint now =
-      Serve(admission, Milliseconds(140), Milliseconds(500), kStart);
+      ServeFlows(admission, Milliseconds(140), Milliseconds(500), kStart);
   CHECK(ShareAdmitted(admission, true, now) < 0.1);
-  now = Serve(admission, Milliseconds(35), Milliseconds(200), now);
+  now = ServeFlows(admission, Milliseconds(35), Milliseconds(200), now);
   DOUBLES_EQUAL(1, ShareAdmitted(admission, true, now), 0);
 }
 
-TEST(Admission, ServicesDoNotAnswerForEachOther) {
+TEST(Admission, ServicesAreIndependent) {
   Admission admission;
   const TimePoint now =
-      Serve(admission, Milliseconds(140), Milliseconds(500), kStart);
+      ServeFlows(admission, Milliseconds(140), Milliseconds(500), kStart);
   CHECK(Admit(admission, {.service = 1, .repeatable = true}, now));
 }
 
 TEST_GROUP(Overload){};
 
-TEST(Overload, HardlyAnythingIsRefusedWithinWhatServersCanDo) {
+TEST(Overload, RefusesAlmostNothingBelowCapacity) {
   for (const double load : {0.5, 0.7}) {
     const OverloadOutcome outcome =
-        PlayOverload({.surge_load = load, .surge_s = 10}, kNow);
-    CHECK(InTime(outcome) >= 0.99);
+        PlayOverload({.surge_load = load, .surge_s = 10}, kWithAdmission);
+    CHECK(InTimeShare(outcome) >= 0.99);
     CHECK(outcome.refused <= outcome.asked / 1000);
   }
 }
 
-TEST(Overload, TwiceAsManyInTimeAsWithoutRefusals) {
+TEST(Overload, AnswersTwiceAsManyInTimeAsWithoutAdmission) {
   for (const double load : {1.5, 2.0}) {
     const OverloadScenario scenario{.surge_load = load, .surge_s = 10};
-    CHECK(InTime(PlayOverload(scenario, kNow)) >=
-          2 * InTime(PlayOverload(scenario, kBefore)));
+    CHECK(InTimeShare(PlayOverload(scenario, kWithAdmission)) >=
+          2 * InTimeShare(PlayOverload(scenario, kWithoutAdmission)));
   }
 }
 
-TEST(Overload, OrdersAreServedAsLongAsTheyFitAlone) {
+TEST(Overload, AnswersOrdersInTimeWhileTheyAloneFitCapacity) {
   const OverloadOutcome outcome =
-      PlayOverload({.surge_load = 1.2, .surge_s = 10}, kNow);
+      PlayOverload({.surge_load = 1.2, .surge_s = 10}, kWithAdmission);
   CHECK(outcome.orders_in_time >= 0.95 * outcome.orders);
 }
 
-TEST(Overload, ServersHardlyShed) {
+TEST(Overload, ServersShedAlmostNothing) {
   const OverloadOutcome outcome =
-      PlayOverload({.surge_load = 1.5, .surge_s = 10}, kNow);
+      PlayOverload({.surge_load = 1.5, .surge_s = 10}, kWithAdmission);
   CHECK(outcome.shed <= outcome.asked / 100);
 }
 
-TEST(Overload, NothingIsRefusedOnceTheLoadHasFallen) {
-  const OverloadOutcome outcome =
-      PlayOverload({.surge_load = 1.2, .surge_s = 4, .calm_s = 4}, kNow);
+TEST(Overload, RefusesAlmostNothingAfterTheSurge) {
+  const OverloadOutcome outcome = PlayOverload(
+      {.surge_load = 1.2, .surge_s = 4, .calm_s = 4}, kWithAdmission);
   CHECK(outcome.refused_when_calm <= outcome.asked / 100);
 }
--- a/Tests/Admission/OverloadTargetTest.cc
+++ b/Tests/Admission/OverloadTargetTest.cc
@@ -4,13 +4,14 @@
 
 #include <CppUTest/TestHarness.h>
 
-/// The stated target: of what the servers can do, nine tenths in time, and of
-/// the orders 19 of 20 as long as they fit alone.
 using namespace filbertwall;
 
+/// The target of admission control: 90 % of the requests that the servers can
+/// process are answered in time, and 95 % of the orders while the orders alone
+/// do not exceed the capacity.
 TEST_GROUP(OverloadTarget){};
 
-TEST(OverloadTarget, NineTenthsOfWhatServersCanDoIsInTime) {
+TEST(OverloadTarget, AnswersNineTenthsOfCapacityInTime) {
   for (const double load : {1.2, 1.5, 2.0}) {
     const OverloadOutcome outcome =
         PlayOverload({.surge_load = load, .surge_s = 10}, {.admission = true});
