--- a/Source/Placement/Placement.h
+++ b/Source/Placement/Placement.h
@@ -34,7 +34,8 @@
   std::uint64_t incarnation = 0;
   bool local = false;   ///< In the data centre of this instance.
   bool usable = false;  ///< Ready and not silent.
-  /// Fails more requests than the other servers of its service.
+  /// Fails a larger share of its requests than the other servers of its
+  /// service.
   bool failing = false;
   TimePoint warmup_ends_at;  ///< The server is slower until this time.
 
@@ -118,7 +119,7 @@
 std::optional<ServerIndex> ChooseServer(Placement& placement,
                                         const NewFlow& flow, TimePoint now);
 
-/// Returns the server whose flows carry `token`.
+/// Returns the server whose flows carry `token`; empty when it is unknown.
 std::optional<ServerIndex> FindByToken(const Placement& placement,
                                        std::uint32_t token);
 
