--- a/Source/Placement/Placement.cc
+++ b/Source/Placement/Placement.cc
@@ -160,8 +160,8 @@
   const auto [position, added] = placement.by_id.emplace(
       record.id(), static_cast<ServerIndex>(placement.servers.size()));
   if (added) {
-    PlacedServer fresh{.id = record.id(), .numeric_id = NumberOf(record.id())};
-    fresh.token = static_cast<std::uint32_t>(fresh.numeric_id);
+    PlacedServer fresh{.id = record.id(), .number = NumberOf(record.id())};
+    fresh.token = static_cast<std::uint32_t>(fresh.number);
     placement.servers.push_back(fresh);
     // When two servers have the same token, the first one keeps it and
     // RefreshUsable excludes the other.
--- a/Source/Placement/Placement.h
+++ b/Source/Placement/Placement.h
@@ -24,8 +24,10 @@
 /// The state of a backend server at one entry instance.
 struct PlacedServer {
   std::string id;
-  std::uint64_t numeric_id = 0;  ///< `NumberOf` of `id`.
-  /// Identifies the server in the packets of its flows.
+  /// `NumberOf(id)`; written to the header of forwarded datagrams.
+  std::uint64_t number = 0;
+  /// Identifies the server in the packets of its flows; the low bits of
+  /// `number`.
   std::uint32_t token = 0;
   Endpoint address;
   ServiceIndex service = 0;
