--- a/Source/Base/Endpoint.h
+++ b/Source/Base/Endpoint.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <string_view>
 
-/// IPv4 addresses with a port.
+/// IPv4 endpoints: an address and a port.
 namespace filbertwall {
 
 /// Both members are in host byte order.
@@ -16,13 +16,13 @@
   auto operator<=>(const Endpoint&) const = default;
 };
 
-/// Parses "IP:port". Empty when the text is anything else or the port is 0.
+/// Parses "IP:port". Returns nullopt for any other text and for port 0.
 std::optional<Endpoint> ParseEndpoint(std::string_view text);
 
-/// Gives "IP:port".
+/// Returns "IP:port".
 std::string FormatEndpoint(const Endpoint& endpoint);
 
-/// Gives the dotted IP alone.
+/// Returns the address in dotted decimal notation.
 std::string FormatIp(std::uint32_t ip);
 
 }  // namespace filbertwall
--- a/Source/Base/Event.h
+++ b/Source/Base/Event.h
@@ -2,7 +2,7 @@
 
 #include <string>
 
-/// Numbered log events. Each has its line in docs/EVENTS.md.
+/// Log records and their numbered events, which docs/EVENTS.md lists.
 namespace filbertwall {
 
 enum class EventId {
--- a/Source/Base/ExitCode.h
+++ b/Source/Base/ExitCode.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Exit codes of the program; docs/operators.md lists them.
+/// Exit codes of the program, documented in docs/operators.md.
 namespace filbertwall {
 
 enum ExitCode {
--- a/Source/Base/Finding.h
+++ b/Source/Base/Finding.h
@@ -3,10 +3,11 @@
 #include <string>
 #include <vector>
 
-/// Diagnostics about a file that an operator wrote.
+/// Diagnostics about the operator's input files.
 namespace filbertwall {
 
-/// One fault of an input file. `line` starts at 1; 0 means the whole file.
+/// One error in an input file: the rejected `text` and what was `expected` in
+/// its place. `line` starts at 1; 0 stands for the whole file.
 struct Finding {
   std::string file;
   int line = 0;
@@ -14,10 +15,10 @@
   std::string expected;
 };
 
-/// Gives `FILE:LINE: error: "TEXT": expected EXPECTED`.
+/// Returns `FILE:LINE: error: "TEXT": expected EXPECTED`.
 std::string FormatFinding(const Finding& finding);
 
-/// All findings, one a line.
+/// Returns the formatted findings, each followed by a newline.
 std::string FormatFindings(const std::vector<Finding>& findings);
 
 }  // namespace filbertwall
--- a/Source/Base/Hash.cc
+++ b/Source/Base/Hash.cc
@@ -9,7 +9,8 @@
 }
 
 std::uint64_t MixHash(std::uint64_t left, std::uint64_t right) {
-  // The finalizer of MurmurHash3, over a combination that is not symmetric.
+  // Applies the 64-bit finalizer of MurmurHash3 to an asymmetric combination,
+  // so that the order of the arguments matters.
   std::uint64_t mixed = left ^ (right * 0x9E3779B97F4A7C15ULL);
   mixed ^= mixed >> 33;
   mixed *= 0xFF51AFD7ED558CCDULL;
--- a/Source/Base/Hash.h
+++ b/Source/Base/Hash.h
@@ -9,12 +9,14 @@
 
 std::uint64_t Hash64(std::string_view bytes, std::uint64_t seed = 0);
 
-/// Mixes two hashes; the order of the arguments matters.
+/// Combines two hashes into one; swapping the arguments changes the result.
 std::uint64_t MixHash(std::uint64_t left, std::uint64_t right);
 
-/// 16 bytes that identify a text.
+/// Returns 16 bytes that identify `bytes`: the canonical form of the 128-bit
+/// hash.
 std::string Digest(std::string_view bytes);
 
+/// Returns two lowercase hexadecimal digits for each byte.
 std::string ToHex(std::string_view bytes);
 
 }  // namespace filbertwall
--- a/Source/Base/Histogram.h
+++ b/Source/Base/Histogram.h
@@ -5,11 +5,12 @@
 
 #include "Base/Time.h"
 
-/// Counts of durations in fixed buckets, cheap enough for the packet path.
+/// Duration histogram with fixed buckets, cheap enough to update per packet.
 namespace filbertwall {
 
-/// Bucket i counts durations up to `UpperBound(i)` that no earlier one holds;
-/// the last has no upper bound. Plain data; not thread safe.
+/// Bucket i counts the durations up to and including `UpperBound(i)` that
+/// exceed the previous bound; the last bucket has no upper bound. Not thread
+/// safe.
 struct Histogram {
   static constexpr std::size_t kBuckets = 14;
 
@@ -17,7 +18,7 @@
   std::uint64_t total = 0;
   Microseconds sum{0};
 
-  /// Four times the one before, from 16 us to 268 s.
+  /// Each bound is four times the previous one, from 16 us to 268 s.
   static constexpr Microseconds UpperBound(std::size_t bucket) {
     constexpr std::int64_t kFirst = 16;
     return Microseconds(kFirst << (2 * bucket));
--- a/Source/Base/Text.cc
+++ b/Source/Base/Text.cc
@@ -10,15 +10,15 @@
                                          std::uint64_t min, std::uint64_t max) {
   std::uint64_t value = 0;
   const char* end = text.data() + text.size();
-  const auto [stopped, error] = std::from_chars(text.data(), end, value);
-  if (error != std::errc() || stopped != end || value < min || value > max) {
+  const auto [parsed_end, error] = std::from_chars(text.data(), end, value);
+  if (error != std::errc() || parsed_end != end || value < min || value > max) {
     return std::nullopt;
   }
   return value;
 }
 
 std::optional<std::chrono::milliseconds> ParseDuration(std::string_view text) {
-  constexpr std::uint64_t kLongestMs = 3600UL * 1000UL;
+  constexpr std::uint64_t kMaxDurationMs = 3600UL * 1000UL;
   std::uint64_t unit_ms = 0;
   if (text.ends_with("ms")) {
     unit_ms = 1;
@@ -29,7 +29,7 @@
   } else {
     return std::nullopt;
   }
-  const auto count = ParseNumber(text, 0, kLongestMs / unit_ms);
+  const auto count = ParseNumber(text, 0, kMaxDurationMs / unit_ms);
   if (!count) {
     return std::nullopt;
   }
@@ -37,14 +37,14 @@
 }
 
 std::vector<std::string> SplitWords(std::string_view text) {
-  constexpr std::string_view kBlank = " \t\r";
+  constexpr std::string_view kWhitespace = " \t\r";
   std::vector<std::string> words;
-  std::size_t start = text.find_first_not_of(kBlank);
+  std::size_t start = text.find_first_not_of(kWhitespace);
   while (start != std::string_view::npos) {
     const std::size_t end =
-        std::min(text.find_first_of(kBlank, start), text.size());
+        std::min(text.find_first_of(kWhitespace, start), text.size());
     words.emplace_back(text.substr(start, end - start));
-    start = text.find_first_not_of(kBlank, end);
+    start = text.find_first_not_of(kWhitespace, end);
   }
   return words;
 }
@@ -64,12 +64,12 @@
 }
 
 std::string_view Trim(std::string_view text) {
-  constexpr std::string_view kBlank = " \t\r\n";
-  const std::size_t start = text.find_first_not_of(kBlank);
+  constexpr std::string_view kWhitespace = " \t\r\n";
+  const std::size_t start = text.find_first_not_of(kWhitespace);
   if (start == std::string_view::npos) {
     return {};
   }
-  return text.substr(start, text.find_last_not_of(kBlank) - start + 1);
+  return text.substr(start, text.find_last_not_of(kWhitespace) - start + 1);
 }
 
 bool EqualsIgnoringCase(std::string_view left, std::string_view right) {
