--- a/Source/Transport/Compression.cc
+++ b/Source/Transport/Compression.cc
@@ -8,7 +8,7 @@
 namespace filbertwall {
 namespace {
 
-constexpr std::size_t kMostPlainBytes = 16U << 20U;
+constexpr std::size_t kMaxPlainBytes = 16U << 20U;
 
 }  // namespace
 
@@ -33,7 +33,7 @@
     return std::nullopt;
   }
   std::memcpy(&plain_length, compressed.data(), sizeof(plain_length));
-  if (plain_length > kMostPlainBytes) {
+  if (plain_length > kMaxPlainBytes) {
     return std::nullopt;
   }
   std::string plain(plain_length, '\0');
--- a/Source/Transport/Compression.h
+++ b/Source/Transport/Compression.h
@@ -4,16 +4,17 @@
 #include <string>
 #include <string_view>
 
-/// Compression of messages, at the cost of little processor time.
+/// Message compression at the fastest zlib level, to save processor time.
 ///
-/// Pure functions; thread safe.
+/// The functions are pure and thread safe.
 namespace filbertwall {
 
-/// The compressed bytes after their plain length; empty when that is not
-/// shorter.
+/// Returns the uncompressed length followed by the compressed bytes, or an
+/// empty string when that is not shorter than `plain`.
 std::string Compress(std::string_view plain);
 
-/// Empty when `compressed` is no output of `Compress`, or of more than 16 MiB.
+/// Returns the uncompressed bytes, or nullopt when `compressed` is not an
+/// output of `Compress` or its uncompressed length exceeds 16 MiB.
 std::optional<std::string> Uncompress(std::string_view compressed);
 
 }  // namespace filbertwall
--- a/Source/Transport/Fragments.cc
+++ b/Source/Transport/Fragments.cc
@@ -10,21 +10,21 @@
 
 constexpr std::uint8_t kPlain = 0xF1;
 constexpr std::uint8_t kCompressed = 0xF2;
-constexpr std::size_t kLeastCompressedBytes = 600;
-constexpr std::size_t kMostPartials = 64;
-constexpr Milliseconds kPartialLifetime{2000};
+constexpr std::size_t kCompressionThresholdBytes = 600;
+constexpr std::size_t kMaxPartialMessages = 64;
+constexpr Milliseconds kPartialMessageLifetime{2000};
 
-/// Written before the part of the message in each datagram.
-struct Header {
+/// Precedes the payload in each datagram.
+struct FragmentHeader {
   std::uint8_t kind = kPlain;
   std::uint32_t message_id = 0;
   std::uint16_t index = 0;
   std::uint16_t count = 0;
 };
 constexpr std::size_t kHeaderBytes = 9;
-constexpr std::size_t kPartBytes = kLargestFragmentBytes - kHeaderBytes;
+constexpr std::size_t kMaxPayloadBytes = kMaxDatagramBytes - kHeaderBytes;
 
-std::string WriteHeader(const Header& header) {
+std::string WriteHeader(const FragmentHeader& header) {
   std::string bytes(kHeaderBytes, '\0');
   bytes[0] = static_cast<char>(header.kind);
   std::memcpy(&bytes[1], &header.message_id, 4);
@@ -33,28 +33,28 @@
   return bytes;
 }
 
-std::optional<Header> ReadHeader(std::string_view bytes) {
+std::optional<FragmentHeader> ReadHeader(std::string_view bytes) {
   if (bytes.size() < kHeaderBytes) {
     return std::nullopt;
   }
-  Header header;
+  FragmentHeader header;
   header.kind = static_cast<std::uint8_t>(bytes[0]);
   std::memcpy(&header.message_id, &bytes[1], 4);
   std::memcpy(&header.index, &bytes[5], 2);
   std::memcpy(&header.count, &bytes[7], 2);
-  const bool known = header.kind == kPlain || header.kind == kCompressed;
-  if (!known || header.index >= header.count) {
+  const bool known_kind = header.kind == kPlain || header.kind == kCompressed;
+  if (!known_kind || header.index >= header.count) {
     return std::nullopt;
   }
   return header;
 }
 
-std::string Join(const std::vector<std::string>& parts) {
-  std::string whole;
-  for (const std::string& part : parts) {
-    whole += part;
+std::string Concatenate(const std::vector<std::string>& payloads) {
+  std::string bytes;
+  for (const std::string& payload : payloads) {
+    bytes += payload;
   }
-  return whole;
+  return bytes;
 }
 
 }  // namespace
@@ -62,28 +62,29 @@
 std::vector<std::string> SplitMessage(std::string_view message,
                                       std::uint32_t message_id) {
   std::string compressed;
-  if (message.size() >= kLeastCompressedBytes) {
+  if (message.size() >= kCompressionThresholdBytes) {
     compressed = Compress(message);
   }
   const std::string_view bytes = compressed.empty() ? message : compressed;
-  Header header{.kind = compressed.empty() ? kPlain : kCompressed,
-                .message_id = message_id};
-  header.count = static_cast<std::uint16_t>(
-      std::max<std::size_t>(1, (bytes.size() + kPartBytes - 1) / kPartBytes));
+  FragmentHeader header{.kind = compressed.empty() ? kPlain : kCompressed,
+                        .message_id = message_id};
+  header.count = static_cast<std::uint16_t>(std::max<std::size_t>(
+      1, (bytes.size() + kMaxPayloadBytes - 1) / kMaxPayloadBytes));
   std::vector<std::string> datagrams;
   for (header.index = 0; header.index < header.count; ++header.index) {
     datagrams.push_back(WriteHeader(header));
-    datagrams.back() += bytes.substr(header.index * kPartBytes, kPartBytes);
+    datagrams.back() +=
+        bytes.substr(header.index * kMaxPayloadBytes, kMaxPayloadBytes);
   }
   return datagrams;
 }
 
-void Reassembler::DropOld(TimePoint now) {
-  std::erase_if(this->partials, [&](const auto& item) {
-    return now - item.second.started_at > kPartialLifetime;
+void Reassembler::EvictPartialMessages(TimePoint now) {
+  std::erase_if(this->partial_messages, [&](const auto& item) {
+    return now - item.second.started_at > kPartialMessageLifetime;
   });
-  if (this->partials.size() >= kMostPartials) {
-    this->partials.erase(this->partials.begin());
+  if (this->partial_messages.size() >= kMaxPartialMessages) {
+    this->partial_messages.erase(this->partial_messages.begin());
   }
 }
 
@@ -95,14 +96,14 @@
     this->malformed += 1;
     return std::nullopt;
   }
-  std::string whole(datagram.substr(kHeaderBytes));
+  std::string payload(datagram.substr(kHeaderBytes));
   if (header->count > 1) {
     const Key key{.sender = sender, .message_id = header->message_id};
-    auto found = this->partials.find(key);
-    if (found == this->partials.end()) {
-      this->DropOld(now);
+    auto found = this->partial_messages.find(key);
+    if (found == this->partial_messages.end()) {
+      this->EvictPartialMessages(now);
       found =
-          this->partials
+          this->partial_messages
               .emplace(key,
                        Partial{.parts = std::vector<std::string>(header->count),
                                .missing = header->count,
@@ -110,23 +111,23 @@
               .first;
     }
     Partial& partial = found->second;
-    if (partial.parts.size() != header->count || whole.empty()) {
+    if (partial.parts.size() != header->count || payload.empty()) {
       this->malformed += 1;
       return std::nullopt;
     }
-    std::string& part = partial.parts[header->index];
-    partial.missing -= part.empty() ? 1 : 0;
-    part = std::move(whole);
+    std::string& slot = partial.parts[header->index];
+    partial.missing -= slot.empty() ? 1 : 0;
+    slot = std::move(payload);
     if (partial.missing > 0) {
       return std::nullopt;
     }
-    whole = Join(partial.parts);
-    this->partials.erase(found);
+    payload = Concatenate(partial.parts);
+    this->partial_messages.erase(found);
   }
   if (header->kind == kPlain) {
-    return whole;
+    return payload;
   }
-  auto message = Uncompress(whole);
+  auto message = Uncompress(payload);
   this->malformed += message ? 0 : 1;
   return message;
 }
--- a/Source/Transport/Fragments.h
+++ b/Source/Transport/Fragments.h
@@ -9,25 +9,30 @@
 
 #include "Base/Time.h"
 
-/// Messages of any size over datagrams: compressed, split, put together again.
+/// Compression, fragmentation and reassembly of messages sent in datagrams.
 ///
-/// Nothing is acknowledged or sent again here; whoever sends a message repeats
-/// it until its effect is seen. No clock, no socket. Not thread safe.
+/// There is no acknowledgement or retransmission at this layer: the sender of a
+/// message repeats it until it observes the effect. The caller supplies the
+/// time and does the socket I/O. Not thread safe.
 namespace filbertwall {
 
-/// Largest datagram that is made, in bytes.
-inline constexpr std::size_t kLargestFragmentBytes = 1400;
+/// Maximum size of a datagram that `SplitMessage` returns, header included.
+inline constexpr std::size_t kMaxDatagramBytes = 1400;
 
-/// Splits a message into datagrams. `message_id` must differ from that of the
-/// sender's other messages of the last seconds.
+/// Splits a message into datagrams; a large message is compressed first if that
+/// makes it shorter. `message_id` must differ from the ids of the messages that
+/// the same sender sent within the last few seconds.
 std::vector<std::string> SplitMessage(std::string_view message,
                                       std::uint32_t message_id);
 
-/// Messages of which some datagrams have arrived.
+/// Reassembles messages from the datagrams that `SplitMessage` returned.
+///
+/// Datagrams may arrive in any order and more than once.
 class Reassembler {
  public:
-  /// Takes a datagram; gives the message that it completes. Malformed input
-  /// gives nothing and counts in `Malformed`.
+  /// Adds a datagram received at `now` from `sender`. Returns the message that
+  /// the datagram completes, or nullopt when fragments are missing or the
+  /// datagram is malformed; malformed datagrams count in `Malformed`.
   std::optional<std::string> Take(std::uint32_t sender,
                                   std::string_view datagram, TimePoint now);
 
@@ -39,15 +44,18 @@
     std::uint32_t message_id = 0;
     auto operator<=>(const Key&) const = default;
   };
+  /// A message of which some fragments have not arrived.
   struct Partial {
+    /// Payloads by fragment index; empty until the fragment arrives.
     std::vector<std::string> parts;
     std::size_t missing = 0;
     TimePoint started_at;
   };
 
-  void DropOld(TimePoint now);
+  /// Drops expired partial messages, and one more if the table is still full.
+  void EvictPartialMessages(TimePoint now);
 
-  std::map<Key, Partial> partials;
+  std::map<Key, Partial> partial_messages;
   std::uint64_t malformed = 0;
 };
 
--- a/Tests/Transport/FragmentsTest.cc
+++ b/Tests/Transport/FragmentsTest.cc
@@ -22,23 +22,23 @@
   return bytes;
 }
 
-std::optional<std::string> TakeAll(Reassembler& reassembler,
-                                   const std::vector<std::string>& datagrams) {
-  std::optional<std::string> whole;
+std::optional<std::string> AddDatagrams(
+    Reassembler& reassembler, const std::vector<std::string>& datagrams) {
+  std::optional<std::string> reassembled;
   for (const std::string& datagram : datagrams) {
-    auto taken = reassembler.Take(kSender, datagram, kStart);
-    if (taken) {
-      whole = std::move(taken);
+    auto completed = reassembler.Take(kSender, datagram, kStart);
+    if (completed) {
+      reassembled = std::move(completed);
     }
   }
-  return whole;
+  return reassembled;
 }
 
 }  // namespace
 
 TEST_GROUP(Fragments){};
 
-TEST(Fragments, MessagesOfAnySizeComeOutWhole) {
+TEST(Fragments, ReassemblesMessagesOfAnySize) {
   std::uint32_t id = 1;
   for (const std::size_t size :
        {0UL, 1UL, 599UL, 600UL, 1391UL, 1392UL, 5000UL, 300000UL}) {
@@ -46,31 +46,31 @@
     const std::string message = RandomBytes(size, size);
     const auto datagrams = SplitMessage(message, id++);
     for (const std::string& datagram : datagrams) {
-      CHECK(datagram.size() <= kLargestFragmentBytes);
+      CHECK(datagram.size() <= kMaxDatagramBytes);
     }
-    const auto whole = TakeAll(reassembler, datagrams);
-    CHECK(whole.has_value());
-    CHECK(*whole == message);
+    const auto reassembled = AddDatagrams(reassembler, datagrams);
+    CHECK(reassembled.has_value());
+    CHECK(*reassembled == message);
   }
 }
 
-TEST(Fragments, RepetitiveMessagesGetShorter) {
+TEST(Fragments, CompressesRepetitiveMessages) {
   const std::string message(100000, 'r');
   CHECK(SplitMessage(message, 1).size() < 3);
 }
 
-TEST(Fragments, OrderAndCopiesDoNotMatter) {
+TEST(Fragments, AcceptsReorderedAndDuplicatedDatagrams) {
   Reassembler reassembler;
   const std::string message = RandomBytes(9000, 3);
   auto datagrams = SplitMessage(message, 5);
   std::reverse(datagrams.begin(), datagrams.end());
   CHECK_FALSE(reassembler.Take(kSender, datagrams[0], kStart).has_value());
-  const auto whole = TakeAll(reassembler, datagrams);
-  CHECK(whole.has_value());
-  CHECK(*whole == message);
+  const auto reassembled = AddDatagrams(reassembler, datagrams);
+  CHECK(reassembled.has_value());
+  CHECK(*reassembled == message);
 }
 
-TEST(Fragments, PartsOfTwoSendersAreNotMixed) {
+TEST(Fragments, KeepsFragmentsOfTwoSendersApart) {
   Reassembler reassembler;
   const auto left = SplitMessage(RandomBytes(2000, 1), 9);
   const auto right = SplitMessage(RandomBytes(2000, 2), 9);
@@ -78,22 +78,23 @@
   CHECK_FALSE(reassembler.Take(2, right[1], kStart).has_value());
 }
 
-TEST(Fragments, MalformedInputIsCountedAndGivesNothing) {
+TEST(Fragments, CountsAndRejectsMalformedDatagrams) {
   Reassembler reassembler;
   std::mt19937_64 random(11);
-  std::uint64_t given = 0;
+  std::uint64_t accepted = 0;
   for (int i = 0; i < 20000; ++i) {
     std::string datagram = SplitMessage(RandomBytes(1500, 4), 8)[0];
     datagram[random() % 9] = static_cast<char>(random());
     datagram.resize(random() % datagram.size());
-    given += reassembler.Take(kSender, datagram, kStart) ? 1 : 0;
+    accepted += reassembler.Take(kSender, datagram, kStart) ? 1 : 0;
   }
   CHECK(reassembler.Malformed() > 0);
-  // A plain single part can't be told from a shorter message.
-  CHECK(given < 20000);
+  // A truncated datagram of an uncompressed message in one fragment is accepted
+  // as a shorter message, because the header has no length field.
+  CHECK(accepted < 20000);
 }
 
-TEST(Fragments, UnfinishedMessagesAreForgotten) {
+TEST(Fragments, DropsExpiredPartialMessages) {
   Reassembler reassembler;
   const auto datagrams = SplitMessage(RandomBytes(2000, 1), 1);
   CHECK_FALSE(reassembler.Take(kSender, datagrams[0], kStart).has_value());
