--- a/Tests/Fuzz/InputsFuzz.cc
+++ b/Tests/Fuzz/InputsFuzz.cc
@@ -8,7 +8,8 @@
 #include "Settings/Settings.h"
 #include "Shell/ControlStore.h"
 
-/// Feeds bytes to each parser of outside input. The first byte chooses.
+/// Passes arbitrary bytes to the parsers of untrusted input. The first byte
+/// selects the parser, and the rest is its input.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data,
                                       std::size_t size) {
   if (size == 0) {
--- a/Tests/TestMain.cc
+++ b/Tests/TestMain.cc
@@ -3,9 +3,9 @@
 #include <CppUTest/TestRegistry.h>
 
 int main(int argc, char** argv) {
-  // Leaks are found by the sanitizer builds; this check is quadratic. Its
-  // plugin is left out too, as it reads a table that was never filled when it
-  // is off.
+  // Disables CppUTest's leak check, which takes quadratic time; the sanitizer
+  // builds find leaks. The leak plugin is not installed either, because it
+  // reads a table that is never filled while the check is disabled.
   MemoryLeakWarningPlugin::turnOffNewDeleteOverloads();
   CommandLineTestRunner runner(argc, argv, TestRegistry::getCurrentRegistry());
   return runner.runAllTestsMain();
