--- a/Source/Requests/Balancer.cc
+++ b/Source/Requests/Balancer.cc
@@ -9,28 +9,32 @@
 namespace filbertwall {
 namespace {
 
+/// Time after READY over which a server gets up to its full slots.
 constexpr Milliseconds kColdStartRamp{3000};
+/// Age at which the announced load of other instances counts half.
 constexpr Milliseconds kAnnouncedLoadHalfLife{1000};
-constexpr std::uint32_t kFailuresUntilAvoided = 3;
-constexpr Milliseconds kFirstAvoidance{500};
-constexpr Milliseconds kLongestAvoidance{8000};
+/// A server is excluded after this many consecutive failures, for a time that
+/// doubles with each further failure.
+constexpr std::uint32_t kFailuresBeforeBackoff = 3;
+constexpr Milliseconds kInitialBackoff{500};
+constexpr Milliseconds kMaxBackoff{8000};
 
-bool FailedLately(const Backend& backend, TimePoint now) {
-  if (backend.consecutive_failures < kFailuresUntilAvoided) {
+bool IsInBackoff(const Backend& backend, TimePoint now) {
+  if (backend.consecutive_failures < kFailuresBeforeBackoff) {
     return false;
   }
   const std::uint32_t doublings =
-      std::min(backend.consecutive_failures - kFailuresUntilAvoided, 4U);
-  const Milliseconds avoidance =
-      std::min(kFirstAvoidance * (1U << doublings), kLongestAvoidance);
-  return now - backend.last_failure < avoidance;
+      std::min(backend.consecutive_failures - kFailuresBeforeBackoff, 4U);
+  const Milliseconds backoff =
+      std::min(kInitialBackoff * (1U << doublings), kMaxBackoff);
+  return now - backend.last_failure < backoff;
 }
 
 using Candidates = std::vector<const Backend*>;
 
-/// Keeps those that satisfy `preferred`, or all when none does.
+/// Returns the candidates that satisfy `preferred`, or all if none does.
 template <typename Predicate>
-Candidates Prefer(const Candidates& candidates, Predicate preferred) {
+Candidates FilterIfAny(const Candidates& candidates, Predicate preferred) {
   Candidates kept;
   std::copy_if(candidates.begin(), candidates.end(), std::back_inserter(kept),
                preferred);
@@ -43,7 +47,8 @@
          EstimatedLoad(backend, now) + 0.5 <= slots;
 }
 
-double Pressure(const Backend& backend, const Rules& rules, TimePoint now) {
+double LoadPerWeightedSlot(const Backend& backend, const Rules& rules,
+                           TimePoint now) {
   const std::uint32_t weight =
       WeightOf(rules, backend.announcement.service(), backend.address);
   return (EstimatedLoad(backend, now) + 1.0) /
@@ -58,9 +63,9 @@
       0.0, static_cast<double>(announced) - backend.own_when_announced);
   const auto age_ms =
       static_cast<double>(MillisecondsBetween(backend.announced_at, now));
-  const double trust =
+  const double decay =
       std::exp2(-age_ms / static_cast<double>(kAnnouncedLoadHalfLife.count()));
-  return backend.own_in_flight + others * trust;
+  return backend.own_in_flight + others * decay;
 }
 
 double EffectiveSlots(const Backend& backend, const Rules& rules,
@@ -72,8 +77,9 @@
   }
   const auto ready_ms =
       static_cast<double>(MillisecondsBetween(backend.ready_since, now));
-  const double warmth = ready_ms / static_cast<double>(kColdStartRamp.count());
-  return std::max(1.0, slots * std::clamp(warmth, 0.0, 1.0));
+  const double warm_fraction =
+      ready_ms / static_cast<double>(kColdStartRamp.count());
+  return std::max(1.0, slots * std::clamp(warm_fraction, 0.0, 1.0));
 }
 
 Choice ChooseBackend(const Directory& directory, const Rules& rules,
@@ -82,9 +88,8 @@
   if (all.empty()) {
     return {};
   }
-  all = Prefer(all, [&](const Backend* backend) {
-    return !FailedLately(*backend, now);
-  });
+  all = FilterIfAny(
+      all, [&](const Backend* backend) { return !IsInBackoff(*backend, now); });
   Candidates free;
   std::copy_if(all.begin(), all.end(), std::back_inserter(free),
                [&](const Backend* backend) {
@@ -93,19 +98,19 @@
   if (free.empty()) {
     return {.kind = Choice::Kind::kFull};
   }
-  free = Prefer(free, [&](const Backend* backend) {
-    return !request.avoided.contains(backend->address);
+  free = FilterIfAny(free, [&](const Backend* backend) {
+    return !request.already_tried.contains(backend->address);
   });
-  free = Prefer(free, [&](const Backend* backend) {
+  free = FilterIfAny(free, [&](const Backend* backend) {
     return backend->data_centre == directory.data_centre;
   });
   const Backend* first = free[request.seed % free.size()];
   const Backend* second =
       free[MixHash(request.seed, free.size()) % free.size()];
-  const bool second_better =
-      Pressure(*second, rules, now) < Pressure(*first, rules, now);
+  const bool prefer_second = LoadPerWeightedSlot(*second, rules, now) <
+                             LoadPerWeightedSlot(*first, rules, now);
   return {.kind = Choice::Kind::kChosen,
-          .backend = (second_better ? second : first)->address};
+          .backend = (prefer_second ? second : first)->address};
 }
 
 }  // namespace filbertwall
--- a/Source/Requests/Balancer.h
+++ b/Source/Requests/Balancer.h
@@ -9,34 +9,41 @@
 #include "Base/Time.h"
 #include "Rules/Rules.h"
 
-/// Chooses the backend server of one attempt. Pure functions.
+/// Load balancing: selects the backend server for one attempt of a request.
+/// All functions are pure.
 namespace filbertwall {
 
 struct ChoiceRequest {
   std::string service;
   std::uint64_t seed = 0;
-  std::set<Endpoint> avoided;  ///< Tried before by the same request.
+  std::set<Endpoint> already_tried;  ///< By earlier attempts of the request.
 };
 
-/// How a choice ended: a server, all slots taken, or none known at all.
+/// The result of a selection.
 struct Choice {
-  enum class Kind { kChosen, kFull, kNone };
+  enum class Kind {
+    kChosen,  ///< `backend` is the selected server.
+    kFull,    ///< All candidates have all their slots in use.
+    kNone     ///< No candidate is known for the service.
+  };
   Kind kind = Kind::kNone;
   Endpoint backend;
 };
 
-/// Two random candidates, of which the one with less estimated load per
-/// effective slot is taken. Servers of this data centre come first; servers
-/// that failed lately are left out while others remain.
+/// Picks two random candidates and returns the one with the lower estimated
+/// load per effective slot. Prefers servers that the request has not tried,
+/// then servers of this data centre. Excludes servers that failed recently
+/// while other candidates remain.
 Choice ChooseBackend(const Directory& directory, const Rules& rules,
                      const ChoiceRequest& request, TimePoint now);
 
-/// Requests thought to run there: this instance's own, and the others' as
-/// announced, which counts for less as it ages.
+/// Returns the estimated number of requests in flight at the server: those of
+/// this instance plus the announced ones of other instances. The announced
+/// figure loses weight as it ages.
 double EstimatedLoad(const Backend& backend, TimePoint now);
 
-/// Slots that may be used now: the announced ones, limited by the rules, and
-/// rising from 1 while the server is cold.
+/// Returns the number of slots usable now: the announced slots, capped by the
+/// rules, and ramped up from 1 after the server became ready.
 double EffectiveSlots(const Backend& backend, const Rules& rules,
                       TimePoint now);
 
--- a/Source/Requests/OrderClaim.cc
+++ b/Source/Requests/OrderClaim.cc
@@ -4,19 +4,19 @@
 #include "Requests/OrderLog.h"
 #include "Requests/RequestTurn.h"
 
-/// Claims: how an instance gains the sole right to dispatch an order.
+/// Claims give one instance the exclusive right to dispatch an order.
 namespace filbertwall {
 namespace {
 
 constexpr Milliseconds kRecorderTimeout{150};
-constexpr Milliseconds kRetryPause{20};
+constexpr Milliseconds kClaimRetryDelay{20};
 
-std::uint64_t NewAttempt(RequestTier& tier) {
+std::uint64_t NewAttemptId(RequestTier& tier) {
   const std::uint64_t number = tier.next_attempt++;
   return MixHash(MixHash(tier.incarnation, tier.self), number);
 }
 
-wire::OrderRecord RecordOf(const OpenRequest& open) {
+wire::OrderRecord BuildRecord(const OpenRequest& open) {
   wire::OrderRecord record;
   record.set_key(open.key);
   record.set_generation(open.generation);
@@ -27,20 +27,21 @@
   return record;
 }
 
-void AskNext(RequestTurn& turn, OpenRequest& open) {
+void SendNextClaim(RequestTurn& turn, OpenRequest& open) {
   ClaimState& claim = open.claim;
   wire::Claim message;
-  *message.mutable_record() = RecordOf(open);
+  *message.mutable_record() = BuildRecord(open);
   turn.effects.emplace_back(
       SendClaim{.to = claim.recorders[claim.asked], .claim = message});
   claim.asked += 1;
-  claim.next_step_at = turn.context.now + kRecorderTimeout;
+  claim.next_action_at = turn.context.now + kRecorderTimeout;
 }
 
-/// The first recorder settles races, so the others are asked only after it.
-void AskOthers(RequestTurn& turn, OpenRequest& open) {
+/// Sends the claim to all recorders after the first. Concurrent claims are
+/// resolved by the first recorder, so the others are contacted only after it.
+void SendRemainingClaims(RequestTurn& turn, OpenRequest& open) {
   while (open.claim.asked < open.claim.recorders.size()) {
-    AskNext(turn, open);
+    SendNextClaim(turn, open);
   }
 }
 
@@ -48,32 +49,34 @@
   return claim.recorders.size() / 2 + 1;
 }
 
-void PauseClaim(RequestTurn& turn, OpenRequest& open) {
+void ScheduleClaimRetry(RequestTurn& turn, OpenRequest& open) {
   WithdrawClaim(turn, open);
-  const std::uint64_t jitter = MixHash(open.claim.attempt, open.claim.tries);
-  open.phase = RequestPhase::kWaiting;
-  open.claim.next_step_at = turn.context.now + kRetryPause * (1 + jitter % 4);
+  const std::uint64_t jitter =
+      MixHash(open.claim.attempt, open.claim.claim_attempts);
+  open.phase = RequestPhase::kClaimBackoff;
+  open.claim.next_action_at =
+      turn.context.now + kClaimRetryDelay * (1 + jitter % 4);
 }
 
-void TakeExisting(RequestTurn& turn, OpenRequest& open,
-                  const wire::OrderRecord& existing) {
-  if (existing.request_digest() != RecordOf(open).request_digest()) {
+void HandleExistingRecord(RequestTurn& turn, OpenRequest& open,
+                          const wire::OrderRecord& existing) {
+  if (existing.request_digest() != BuildRecord(open).request_digest()) {
     WithdrawClaim(turn, open);
     wire::Answer answer;
     answer.set_status(422);
     answer.set_body("the Idempotency-Key was used for another request\n");
     wire::OrderRecord record;
     *record.mutable_answer() = answer;
-    FinishAsRecorded(turn, open, record);
+    FinishFromRecord(turn, open, record);
     return;
   }
   if (existing.phase() == wire::INTENT ||
       existing.generation() > open.generation) {
-    PauseClaim(turn, open);
+    ScheduleClaimRetry(turn, open);
     return;
   }
   WithdrawClaim(turn, open);
-  FinishAsRecorded(turn, open, existing);
+  FinishFromRecord(turn, open, existing);
 }
 
 void SendWithdrawal(RequestTurn& turn, std::uint32_t to, const std::string& key,
@@ -98,20 +101,21 @@
 
 void StartClaim(RequestTurn& turn, OpenRequest& open) {
   ClaimState& claim = open.claim;
-  const std::uint32_t tries = claim.tries + 1;
-  claim =
-      ClaimState{.recorders = RecordersOf(turn.tier.recorder_pool, open.key),
-                 .attempt = NewAttempt(turn.tier),
-                 .started_at = turn.context.now,
-                 .tries = tries};
+  const std::uint32_t claim_attempts = claim.claim_attempts + 1;
+  claim = ClaimState{
+      .recorders = SelectRecorders(turn.tier.recorder_pool, open.key),
+      .attempt = NewAttemptId(turn.tier),
+      .started_at = turn.context.now,
+      .claim_attempts = claim_attempts};
   turn.tier.attempts[claim.attempt] = open.id;
   open.phase = RequestPhase::kClaiming;
-  // Silent recorders are asked last, but asked: the set never changes.
+  // Recorders considered down are contacted last but not left out, since the
+  // set of recorders must be the same at all instances.
   std::stable_partition(claim.recorders.begin(), claim.recorders.end(),
                         [&](std::uint32_t instance) {
                           return !turn.context.silent.contains(instance);
                         });
-  AskNext(turn, open);
+  SendNextClaim(turn, open);
 }
 
 void HandleClaimAnswered(RequestTurn& turn, const ClaimAnswered& event) {
@@ -121,7 +125,8 @@
                        open->claim.attempt == reply.attempt() &&
                        open->phase == RequestPhase::kClaiming;
   if (!current) {
-    // A grant that arrives after its claim was given up must not stay.
+    // The claim was withdrawn before its grant arrived: withdraw it again, so
+    // that the late grant does not block other claims on the key.
     if (reply.granted() && turn.tier.withdrawn.contains(reply.attempt())) {
       SendWithdrawal(turn, event.from, reply.key(), reply.attempt());
     }
@@ -129,7 +134,7 @@
   }
   if (!reply.granted()) {
     if (reply.has_existing()) {
-      TakeExisting(turn, *open, reply.existing());
+      HandleExistingRecord(turn, *open, reply.existing());
     }
     return;
   }
@@ -137,26 +142,27 @@
   if (!reply.amnesiac()) {
     open->claim.granted.insert(event.from);
   }
-  AskOthers(turn, *open);
-  const bool in_time = turn.context.now - open->claim.started_at < kClaimLimit;
+  SendRemainingClaims(turn, *open);
+  const bool in_time =
+      turn.context.now - open->claim.started_at < kClaimTimeout;
   if (open->claim.granted.size() >= Majority(open->claim) && in_time) {
     Dispatch(turn, *open);
   }
 }
 
-void StepClaim(RequestTurn& turn, OpenRequest& open) {
-  if (turn.context.now < open.claim.next_step_at) {
+void AdvanceClaim(RequestTurn& turn, OpenRequest& open) {
+  if (turn.context.now < open.claim.next_action_at) {
     return;
   }
-  if (open.phase == RequestPhase::kWaiting) {
+  if (open.phase == RequestPhase::kClaimBackoff) {
     StartClaim(turn, open);
     return;
   }
   if (open.claim.asked < open.claim.recorders.size()) {
-    AskOthers(turn, open);
+    SendRemainingClaims(turn, open);
     return;
   }
-  PauseClaim(turn, open);
+  ScheduleClaimRetry(turn, open);
 }
 
 void WithdrawClaim(RequestTurn& turn, OpenRequest& open) {
@@ -170,7 +176,7 @@
 void SendOutcomes(RequestTurn& turn, const OpenRequest& open,
                   wire::OrderPhase phase, const wire::Answer& answer) {
   wire::Outcome outcome;
-  *outcome.mutable_record() = RecordOf(open);
+  *outcome.mutable_record() = BuildRecord(open);
   outcome.mutable_record()->set_phase(phase);
   *outcome.mutable_record()->mutable_answer() = answer;
   for (const std::uint32_t recorder : open.claim.recorders) {
--- a/Source/Requests/OrderLog.cc
+++ b/Source/Requests/OrderLog.cc
@@ -10,9 +10,10 @@
 constexpr std::size_t kRecordersPerKey = 3;
 constexpr std::size_t kPageBytes = 256UL * 1024UL;
 
-/// Whether `claim` opens a new generation of an order known as not run.
-bool OpensGeneration(const wire::OrderRecord& claim,
-                     const wire::OrderRecord& stored) {
+/// Returns whether `claim` starts a new generation of an order whose stored
+/// outcome is NOT_RUN.
+bool StartsNewGeneration(const wire::OrderRecord& claim,
+                         const wire::OrderRecord& stored) {
   return stored.phase() == wire::NOT_RUN &&
          claim.generation() > stored.generation();
 }
@@ -21,29 +22,32 @@
   return record.answer().body().size();
 }
 
-/// Bytes held after `record` has taken the place of what is stored.
-std::size_t BytesWith(const OrderLog& log, const wire::OrderRecord& record) {
+/// Returns `answer_bytes` as it would be with `record` stored under its key.
+std::size_t AnswerBytesAfterStoring(const OrderLog& log,
+                                    const wire::OrderRecord& record) {
   const auto stored = log.records.find(record.key());
   const std::size_t freed =
       stored == log.records.end() ? 0 : AnswerBytes(stored->second.record);
   return log.answer_bytes - freed + AnswerBytes(record);
 }
 
-/// Keeps the record; one whose answer would take too much as an intent only.
+/// Stores the record. If its response would exceed the byte limit, stores it
+/// as an INTENT without the response.
 void Store(OrderLog& log, const wire::OrderRecord& record, TimePoint now) {
   StoredOrder order{.record = record,
                     .stored_at = now - Milliseconds(record.age_ms())};
-  if (BytesWith(log, record) > log.answer_byte_limit) {
+  if (AnswerBytesAfterStoring(log, record) > log.answer_byte_limit) {
     order.record.set_phase(wire::INTENT);
     order.record.clear_answer();
   }
-  log.answer_bytes = BytesWith(log, order.record);
+  log.answer_bytes = AnswerBytesAfterStoring(log, order.record);
   log.records[record.key()] = std::move(order);
 }
 
-/// Whether `fresh` tells more about the order than `stored`.
-bool KnowsMore(const wire::OrderRecord& fresh,
-               const wire::OrderRecord& stored) {
+/// Returns whether `fresh` is of a later generation than `stored`, or of the
+/// same one and has an outcome where `stored` has none.
+bool Supersedes(const wire::OrderRecord& fresh,
+                const wire::OrderRecord& stored) {
   if (fresh.generation() != stored.generation()) {
     return fresh.generation() > stored.generation();
   }
@@ -52,8 +56,8 @@
 
 }  // namespace
 
-std::vector<std::uint32_t> RecordersOf(const std::vector<std::uint32_t>& pool,
-                                       const std::string& key) {
+std::vector<std::uint32_t> SelectRecorders(
+    const std::vector<std::uint32_t>& pool, const std::string& key) {
   std::vector<std::uint32_t> ranked = pool;
   const std::uint64_t key_hash = Hash64(key);
   std::sort(ranked.begin(), ranked.end(),
@@ -64,11 +68,11 @@
   return ranked;
 }
 
-bool Vouches(const OrderLog& log, const std::string& key) {
+bool HasCompleteRecords(const OrderLog& log, const std::string& key) {
   if (log.unsure_with.empty()) {
     return true;
   }
-  const std::vector<std::uint32_t> recorders = RecordersOf(log.pool, key);
+  const std::vector<std::uint32_t> recorders = SelectRecorders(log.pool, key);
   return std::none_of(recorders.begin(), recorders.end(),
                       [&](std::uint32_t instance) {
                         return log.unsure_with.contains(instance);
@@ -89,18 +93,19 @@
       *reply.mutable_existing() = record;
       return reply;
     }
-    if (!OpensGeneration(wanted, record)) {
+    if (!StartsNewGeneration(wanted, record)) {
       *reply.mutable_existing() = record;
       return reply;
     }
   }
   if (log.records.size() >= log.limit) {
-    reply.set_amnesiac(true);  // It can't remember, so it can't vouch.
+    // A full log can't store the claim, so it can't confirm a new key.
+    reply.set_amnesiac(true);
     return reply;
   }
   Store(log, wanted, now);
   reply.set_granted(true);
-  reply.set_amnesiac(!Vouches(log, wanted.key()));
+  reply.set_amnesiac(!HasCompleteRecords(log, wanted.key()));
   return reply;
 }
 
@@ -118,7 +123,7 @@
     }
     return;
   }
-  if (!known || same_attempt || KnowsMore(record, stored->second.record)) {
+  if (!known || same_attempt || Supersedes(record, stored->second.record)) {
     Store(log, record, now);
   }
 }
@@ -128,14 +133,14 @@
   for (const wire::OrderRecord& record : page.records()) {
     const auto stored = log.records.find(record.key());
     if (stored == log.records.end() ||
-        KnowsMore(record, stored->second.record)) {
+        Supersedes(record, stored->second.record)) {
       Store(log, record, now);
     }
   }
   const auto& unsure = page.unsure_with();
-  const bool lost_at_both =
+  const bool lost_at_both_recorders =
       std::find(unsure.begin(), unsure.end(), log.self) != unsure.end();
-  if (page.next().empty() && !lost_at_both) {
+  if (page.next().empty() && !lost_at_both_recorders) {
     log.unsure_with.erase(from);
   }
 }
@@ -169,7 +174,8 @@
     return expired;
   });
   if (now - log.started_at > log.retention) {
-    log.unsure_with.clear();  // What was forgotten would have expired.
+    // Any record lost in the restart would have expired by now.
+    log.unsure_with.clear();
   }
 }
 
--- a/Source/Requests/OrderLog.h
+++ b/Source/Requests/OrderLog.h
@@ -9,12 +9,13 @@
 #include "Base/Time.h"
 #include "Wire/wire.pb.h"
 
-/// What a recorder remembers of non-idempotent requests with a key.
+/// In-memory records of orders. An order is a non-idempotent request with an
+/// Idempotency-Key; the recorders of its key are the instances that store its
+/// record.
 ///
-/// A recorder that has just started has forgotten all records. It stores
-/// claims, but vouches that a key is new only once it has pulled the records
-/// of the key's other recorders. See docs/design/0003-orders.md. Not thread
-/// safe.
+/// A recorder loses all records when it restarts. It then stores claims, but
+/// confirms that a key is new only after it has pulled the records of the
+/// key's other recorders. See docs/design/0003-orders.md. Not thread safe.
 namespace filbertwall {
 
 struct StoredOrder {
@@ -24,44 +25,52 @@
 
 struct OrderLog {
   Milliseconds retention{600000};
-  std::size_t limit = 50000;
+  std::size_t limit = 50000;  ///< Maximum number of records.
   std::size_t answer_byte_limit = 16UL << 20U;
-  std::size_t answer_bytes = 0;  ///< Bodies of the remembered answers.
+  std::size_t answer_bytes = 0;  ///< Total size of the stored response bodies.
   std::uint32_t self = 0;
   std::vector<std::uint32_t> pool;  ///< All instances that record orders.
-  /// Instances whose records shared with this one may be lost at both.
+  /// Instances from which the shared records were not pulled since this
+  /// instance started. Records stored only at both may be lost.
   std::set<std::uint32_t> unsure_with;
   TimePoint started_at;
   std::map<std::string, StoredOrder> records;
 };
 
-/// The recorders of a key: a pure function of the configured instances, so
-/// that every instance names the same, whatever it thinks is alive.
-std::vector<std::uint32_t> RecordersOf(const std::vector<std::uint32_t>& pool,
-                                       const std::string& key);
+/// Returns the recorders of a key, by rendezvous hashing. Depends only on the
+/// configured instances, so that all instances select the same recorders
+/// regardless of which instances they consider alive.
+std::vector<std::uint32_t> SelectRecorders(
+    const std::vector<std::uint32_t>& pool, const std::string& key);
 
-/// Whether this recorder would know a record of the key if there were one.
-bool Vouches(const OrderLog& log, const std::string& key);
+/// Returns whether this recorder would hold a record of the key if one existed.
+bool HasCompleteRecords(const OrderLog& log, const std::string& key);
 
-/// Claims a key for an attempt, or answers with the record that stands.
+/// Grants the key to the attempt of the claim, or replies with the existing
+/// record. A grant marked `amnesiac` does not confirm that the key is new. When
+/// the log is full, the claim is not granted.
 wire::ClaimReply TakeClaim(OrderLog& log, const wire::Claim& claim,
                            TimePoint now);
 
-/// Notes how an attempt ended. An answer beyond the limit of bytes leaves the
-/// order an intent, so that its copies get "unknown". NOT_RUN with an empty
-/// answer withdraws a claim that was never dispatched.
+/// Records the outcome of an attempt. If the response would exceed
+/// `answer_byte_limit`, the order stays an INTENT and its copies get "unknown".
+/// NOT_RUN with an empty response withdraws a claim that was never dispatched.
 void TakeOutcome(OrderLog& log, const wire::OrderRecord& record, TimePoint now);
 
-/// Merges records of the recorder `from`; the one that knows more wins. After
-/// its last page this recorder may vouch for the keys that both share.
+/// Merges records pulled from the recorder `from`. Of two records of a key, the
+/// one of the later generation is kept, or else the one with an outcome. After
+/// the last page, this recorder can confirm new keys that both recorders share,
+/// unless the sender reports that it lost the shared records as well.
 void MergeRecords(OrderLog& log, std::uint32_t from,
                   const wire::RecordsPage& page, TimePoint now);
 
-/// The records after the key `after`, up to a bounded number of bytes.
+/// Returns the records that follow the key `after`, in key order. The page
+/// ends soon after 256 KiB.
 wire::RecordsPage PageOfRecords(const OrderLog& log, const std::string& after,
                                 TimePoint now);
 
-/// Drops records past the retention; ends amnesia once it is that old.
+/// Removes records older than the retention. Once this recorder has run for
+/// longer than that, it can confirm all new keys.
 void ExpireOrders(OrderLog& log, TimePoint now);
 
 }  // namespace filbertwall
--- a/Source/Requests/RequestDispatch.cc
+++ b/Source/Requests/RequestDispatch.cc
@@ -4,11 +4,12 @@
 #include "Requests/Balancer.h"
 #include "Requests/RequestTurn.h"
 
-/// Dispatch: from a request that may run to an attempt, a queue or a refusal.
+/// Dispatch: sends a request to a backend server, queues it or rejects it.
 namespace filbertwall {
 namespace {
 
-constexpr Milliseconds kShortestAttempt{5};
+/// A queued request with less time than this to its deadline is not sent.
+constexpr Milliseconds kMinAttemptTime{5};
 
 void SetDeadlineHeader(HttpRequest& request, Milliseconds remaining) {
   std::erase_if(request.headers, [](const wire::HeaderField& field) {
@@ -20,7 +21,8 @@
   request.headers.push_back(field);
 }
 
-void Start(RequestTurn& turn, OpenRequest& open, const Endpoint& address) {
+void SendAttempt(RequestTurn& turn, OpenRequest& open,
+                 const Endpoint& address) {
   const TimePoint now = turn.context.now;
   Backend& backend = turn.context.directory.backends.at(address);
   ServiceLoad& load = turn.tier.services[open.service];
@@ -33,7 +35,7 @@
   open.attempt_started_at = now;
   const auto remaining =
       std::chrono::duration_cast<Milliseconds>(open.deadline - now);
-  // Leaves time for the retries that are still allowed.
+  // The remaining time is shared equally with the retries still allowed.
   open.attempt_deadline = now + remaining / (open.retries_left + 1);
   turn.tier.attempts[open.attempt] = open.id;
   StartAttempt effect{
@@ -42,7 +44,7 @@
   turn.effects.emplace_back(std::move(effect));
 }
 
-/// The wait that a request at the end of the queue must expect.
+/// Estimates the queueing delay of a request with `ahead` requests before it.
 Milliseconds ExpectedWait(const ServiceLoad& load, std::size_t ahead) {
   const double servers = std::max(1U, load.running);
   return Milliseconds(static_cast<std::int64_t>(
@@ -54,8 +56,8 @@
   const bool interactive = open.traffic_class == TrafficClass::kInteractive;
   const std::size_t ahead =
       load.interactive.size() + (interactive ? 0 : load.bulk.size());
-  const TimePoint turn_at = turn.context.now + ExpectedWait(load, ahead);
-  if (ahead >= open.queue_limit || turn_at >= open.deadline) {
+  const TimePoint expected_start = turn.context.now + ExpectedWait(load, ahead);
+  if (ahead >= open.queue_limit || expected_start >= open.deadline) {
     open.phase = RequestPhase::kQueued;
     Count(turn, "shed");
     FinishNotRun(turn, open, "all slots are taken");
@@ -69,7 +71,7 @@
   const ChoiceRequest request{
       .service = open.service,
       .seed = MixHash(turn.tier.next_attempt, turn.tier.incarnation),
-      .avoided = open.tried};
+      .already_tried = open.tried};
   return ChooseBackend(turn.context.directory, turn.context.rules, request,
                        turn.context.now);
 }
@@ -77,7 +79,7 @@
 void DrainQueue(RequestTurn& turn, std::deque<std::uint64_t>& queue) {
   while (!queue.empty()) {
     OpenRequest& open = turn.tier.open.at(queue.front());
-    if (open.deadline - turn.context.now < kShortestAttempt) {
+    if (open.deadline - turn.context.now < kMinAttemptTime) {
       queue.pop_front();
       FinishNotRun(turn, open, "no slot was free in time");
       continue;
@@ -87,7 +89,7 @@
       return;
     }
     queue.pop_front();
-    Start(turn, open, choice.backend);
+    SendAttempt(turn, open, choice.backend);
   }
 }
 
@@ -96,16 +98,16 @@
 void Dispatch(RequestTurn& turn, OpenRequest& open) {
   const ServiceLoad& load = turn.tier.services[open.service];
   const bool interactive = open.traffic_class == TrafficClass::kInteractive;
-  const bool others_first =
+  const bool has_queued_ahead =
       !load.interactive.empty() || (!interactive && !load.bulk.empty());
-  if (others_first) {
+  if (has_queued_ahead) {
     Enqueue(turn, open);
     return;
   }
   const Choice choice = ChooseFor(turn, open);
   switch (choice.kind) {
     case Choice::Kind::kChosen:
-      Start(turn, open, choice.backend);
+      SendAttempt(turn, open, choice.backend);
       return;
     case Choice::Kind::kFull:
       Enqueue(turn, open);
--- a/Source/Requests/RequestTier.cc
+++ b/Source/Requests/RequestTier.cc
@@ -9,16 +9,17 @@
 namespace filbertwall {
 namespace {
 
-/// Attempts of one request, by how the last one ended.
-constexpr std::uint32_t kMostUnsentAttempts = 6;
-constexpr std::uint32_t kMostRefusedAttempts = 16;
+/// Maximum number of attempts of one request, by the result of the last one:
+/// not sent, or refused by the server before running.
+constexpr std::uint32_t kMaxUnsentAttempts = 6;
+constexpr std::uint32_t kMaxRefusedAttempts = 16;
 
 constexpr int kStatusNotRun = 503;
 constexpr int kStatusUnknown = 504;
-constexpr std::size_t kLongestKey = 256;
-constexpr std::size_t kLargestRememberedBody = 64UL * 1024UL;
+constexpr std::size_t kMaxKeyBytes = 256;
+constexpr std::size_t kMaxRecordedBodyBytes = 64UL * 1024UL;
 
-std::string HeaderOf(const HttpRequest& request, std::string_view name) {
+std::string GetHeader(const HttpRequest& request, std::string_view name) {
   for (const wire::HeaderField& field : request.headers) {
     if (EqualsIgnoringCase(field.name(), name)) {
       return field.value();
@@ -27,8 +28,8 @@
   return "";
 }
 
-wire::Answer PlainAnswer(int status, std::string_view outcome,
-                         const std::string& reason) {
+wire::Answer BuildPlainAnswer(int status, std::string_view outcome,
+                              const std::string& reason) {
   wire::Answer answer;
   answer.set_status(status);
   wire::HeaderField& field = *answer.add_headers();
@@ -38,9 +39,10 @@
   return answer;
 }
 
-/// Takes the request off the books; the caller is answered unless it left.
-void Close(RequestTurn& turn, OpenRequest& open, const wire::Answer& answer) {
-  if (!open.caller_left) {
+/// Removes the request. Sends the response unless the caller disconnected.
+void CloseRequest(RequestTurn& turn, OpenRequest& open,
+                  const wire::Answer& answer) {
+  if (!open.caller_disconnected) {
     turn.effects.emplace_back(AnswerCaller{.id = open.id, .answer = answer});
   }
   turn.tier.attempts.erase(open.attempt);
@@ -48,23 +50,24 @@
   turn.tier.open.erase(open.id);
 }
 
-void AnswerEarly(RequestTurn& turn, const RequestArrived& event, int status,
-                 const std::string& reason) {
+void Reject(RequestTurn& turn, const RequestArrived& event, int status,
+            const std::string& reason) {
   Count(turn, "refused");
   turn.effects.emplace_back(AnswerCaller{
       .id = event.id, .answer = RefusalOf(event.request, status, reason)});
 }
 
-void ApplyRule(OpenRequest& open, const RequestRule* rule, TimePoint now) {
+void ApplyRequestRule(OpenRequest& open, const RequestRule* rule,
+                      TimePoint now) {
   const RequestRule defaults;
-  const RequestRule& wish = rule == nullptr ? defaults : *rule;
+  const RequestRule& applied = rule == nullptr ? defaults : *rule;
   open.idempotent = IsIdempotent(rule, open.request.method);
-  open.retries_left = open.idempotent ? wish.retries : 0;
-  open.queue_limit = wish.queue;
-  open.traffic_class = wish.traffic_class;
-  Milliseconds allowed = wish.deadline;
+  open.retries_left = open.idempotent ? applied.retries : 0;
+  open.queue_limit = applied.queue;
+  open.traffic_class = applied.traffic_class;
+  Milliseconds allowed = applied.deadline;
   const auto asked =
-      ParseNumber(HeaderOf(open.request, kDeadlineHeader), 0, 3600000);
+      ParseNumber(GetHeader(open.request, kDeadlineHeader), 0, 3600000);
   if (asked) {
     allowed = std::min(allowed, Milliseconds(*asked));
   }
@@ -74,13 +77,13 @@
 void HandleArrived(RequestTurn& turn, const RequestArrived& event) {
   Count(turn, "requests");
   if (turn.tier.stopping) {
-    AnswerEarly(turn, event, kStatusNotRun, "this instance is stopping");
+    Reject(turn, event, kStatusNotRun, "this instance is stopping");
     return;
   }
   const ServiceRule* service =
       FindServiceByHost(turn.context.rules, event.request.host);
   if (service == nullptr) {
-    AnswerEarly(turn, event, 421, "no service has the name in Host");
+    Reject(turn, event, 421, "no service has the name in Host");
     return;
   }
   OpenRequest open{.id = event.id,
@@ -90,27 +93,27 @@
   const RequestRule* rule =
       FindRequestRule(turn.context.rules, service->name, open.request.method,
                       open.request.path);
-  ApplyRule(open, rule, turn.context.now);
-  const std::string key = HeaderOf(open.request, kKeyHeader);
-  if (key.size() > kLongestKey) {
-    AnswerEarly(turn, event, 400, "Idempotency-Key is over 256 bytes");
+  ApplyRequestRule(open, rule, turn.context.now);
+  const std::string key = GetHeader(open.request, kKeyHeader);
+  if (key.size() > kMaxKeyBytes) {
+    Reject(turn, event, 400, "Idempotency-Key is over 256 bytes");
     return;
   }
   const auto generation =
-      ParseNumber(HeaderOf(open.request, kGenerationHeader), 1, 1000000);
+      ParseNumber(GetHeader(open.request, kGenerationHeader), 1, 1000000);
   open.generation = static_cast<std::uint32_t>(generation.value_or(1));
-  const bool guarded = !open.idempotent && !key.empty();
-  if (guarded) {
+  const bool needs_claim = !open.idempotent && !key.empty();
+  if (needs_claim) {
     open.key = service->name + "\n" + key;
   }
   ServiceLoad& load = turn.tier.services[open.service];
-  constexpr double kRetryShare = 0.1;
-  constexpr double kMostRetryTokens = 20.0;
+  constexpr double kRetryTokensPerRequest = 0.1;
+  constexpr double kMaxRetryTokens = 20.0;
   load.retry_tokens =
-      std::min(load.retry_tokens + kRetryShare, kMostRetryTokens);
+      std::min(load.retry_tokens + kRetryTokensPerRequest, kMaxRetryTokens);
   OpenRequest& stored =
       turn.tier.open.emplace(event.id, std::move(open)).first->second;
-  if (guarded) {
+  if (needs_claim) {
     StartClaim(turn, stored);
   } else {
     Dispatch(turn, stored);
@@ -123,7 +126,7 @@
   std::erase(load.bulk, open.id);
 }
 
-/// Frees the slot that an attempt held.
+/// Releases the slot held by the current attempt.
 void ReleaseSlot(RequestTurn& turn, OpenRequest& open) {
   turn.tier.attempts.erase(open.attempt);
   ServiceLoad& load = turn.tier.services[open.service];
@@ -135,7 +138,8 @@
   }
 }
 
-void NoteHealth(RequestTurn& turn, const OpenRequest& open, bool success) {
+void RecordAttemptHealth(RequestTurn& turn, const OpenRequest& open,
+                         bool success) {
   const auto found = turn.context.directory.backends.find(open.backend);
   if (found == turn.context.directory.backends.end()) {
     return;
@@ -151,27 +155,29 @@
   backend.last_failure = turn.context.now;
 }
 
-/// Other instances have taken its slots; it is left alone for a moment.
-void NoteRefusal(RequestTurn& turn, const OpenRequest& open) {
-  constexpr Milliseconds kFirstPause{10};
-  constexpr std::uint32_t kMostDoublings = 3;
+/// Marks the server as full for 10 ms, doubled for each consecutive refusal up
+/// to 80 ms. A refusal means that other instances use its slots.
+void RecordRefusal(RequestTurn& turn, const OpenRequest& open) {
+  constexpr Milliseconds kInitialPause{10};
+  constexpr std::uint32_t kMaxDoublings = 3;
   const auto found = turn.context.directory.backends.find(open.backend);
   if (found == turn.context.directory.backends.end()) {
     return;
   }
   Backend& backend = found->second;
   const std::uint32_t doublings =
-      std::min(backend.refusals_in_row, kMostDoublings);
+      std::min(backend.refusals_in_row, kMaxDoublings);
   backend.refusals_in_row += 1;
-  backend.full_until = turn.context.now + kFirstPause * (1U << doublings);
+  backend.full_until = turn.context.now + kInitialPause * (1U << doublings);
 }
 
-void NoteServiceTime(RequestTurn& turn, const OpenRequest& open) {
-  constexpr double kNewShare = 0.1;
+void RecordServiceTime(RequestTurn& turn, const OpenRequest& open) {
+  constexpr double kSmoothingFactor = 0.1;
   ServiceLoad& load = turn.tier.services[open.service];
-  const auto took_ms = static_cast<double>(
+  const auto elapsed_ms = static_cast<double>(
       MillisecondsBetween(open.attempt_started_at, turn.context.now));
-  load.mean_service_ms += (took_ms - load.mean_service_ms) * kNewShare;
+  load.mean_service_ms +=
+      (elapsed_ms - load.mean_service_ms) * kSmoothingFactor;
 }
 
 void CancelRunning(RequestTurn& turn, OpenRequest& open) {
@@ -179,20 +185,22 @@
   ReleaseSlot(turn, open);
 }
 
-void HandleCallerLeft(RequestTurn& turn, const CallerLeft& event) {
+void HandleCallerDisconnected(RequestTurn& turn, const CallerLeft& event) {
   const auto found = turn.tier.open.find(event.id);
   if (found == turn.tier.open.end()) {
     return;
   }
   OpenRequest& open = found->second;
-  open.caller_left = true;
+  open.caller_disconnected = true;
   Count(turn, "callers_left");
   if (open.phase == RequestPhase::kRunning) {
     if (open.idempotent) {
       CancelRunning(turn, open);
-      Close(turn, open, {});
+      CloseRequest(turn, open, {});
     }
-    return;  // An order that may run is left to end, and to be recorded.
+    // A non-idempotent request that may run is left to complete, so that its
+    // outcome is recorded.
+    return;
   }
   FinishNotRun(turn, open, "the caller left");
 }
@@ -218,11 +226,11 @@
   return true;
 }
 
-/// The request is known not to have run there; another server may take it.
-void TryElsewhere(RequestTurn& turn, OpenRequest& open,
-                  std::uint32_t most_attempts) {
+/// Dispatches a request again that is known not to have run at its last server.
+void RetryOnOtherServer(RequestTurn& turn, OpenRequest& open,
+                        std::uint32_t max_attempts) {
   open.tried.insert(open.backend);
-  if (open.attempts >= most_attempts || turn.context.now >= open.deadline) {
+  if (open.attempts >= max_attempts || turn.context.now >= open.deadline) {
     FinishNotRun(turn, open, "the backend servers refused it");
     return;
   }
@@ -247,7 +255,7 @@
 void HandleAttemptEnded(RequestTurn& turn, const AttemptEnded& event) {
   const auto request = turn.tier.attempts.find(event.attempt);
   if (request == turn.tier.attempts.end()) {
-    return;  // Cancelled before; a late answer belongs to nobody.
+    return;  // The attempt was cancelled; its late response is discarded.
   }
   OpenRequest& open = turn.tier.open.at(request->second);
   ReleaseSlot(turn, open);
@@ -255,21 +263,21 @@
     case AttemptResult::Kind::kAnswered:
       if (IsRefusedBeforeRunning(event.result.answer)) {
         Count(turn, "refused_by_backend");
-        NoteRefusal(turn, open);
-        TryElsewhere(turn, open, kMostRefusedAttempts);
+        RecordRefusal(turn, open);
+        RetryOnOtherServer(turn, open, kMaxRefusedAttempts);
         break;
       }
-      NoteHealth(turn, open, event.result.answer.status() < 500);
-      NoteServiceTime(turn, open);
+      RecordAttemptHealth(turn, open, event.result.answer.status() < 500);
+      RecordServiceTime(turn, open);
       FinishComplete(turn, open, event.result.answer);
       break;
     case AttemptResult::Kind::kNotSent:
-      NoteHealth(turn, open, false);
+      RecordAttemptHealth(turn, open, false);
       Count(turn, "attempts_not_sent");
-      TryElsewhere(turn, open, kMostUnsentAttempts);
+      RetryOnOtherServer(turn, open, kMaxUnsentAttempts);
       break;
     case AttemptResult::Kind::kLost:
-      NoteHealth(turn, open, false);
+      RecordAttemptHealth(turn, open, false);
       Count(turn, "attempts_lost");
       RetryOrGiveUp(turn, open, "the connection to the backend server failed");
       break;
@@ -277,12 +285,12 @@
   DrainQueues(turn);
 }
 
-/// Ends what has run out of time. May close the request.
+/// Handles the deadline and time-outs of a request. May close the request.
 void ExpireRequest(RequestTurn& turn, OpenRequest& open) {
   const TimePoint now = turn.context.now;
   switch (open.phase) {
     case RequestPhase::kClaiming:
-    case RequestPhase::kWaiting:
+    case RequestPhase::kClaimBackoff:
       if (now >= open.deadline) {
         WithdrawClaim(turn, open);
         open.claim.recorders.clear();
@@ -290,7 +298,7 @@
                       "the order's recorders did not settle it in time");
         return;
       }
-      StepClaim(turn, open);
+      AdvanceClaim(turn, open);
       return;
     case RequestPhase::kQueued:
       if (now >= open.deadline) {
@@ -299,7 +307,7 @@
       return;
     case RequestPhase::kRunning:
       if (now >= open.deadline || now >= open.attempt_deadline) {
-        NoteHealth(turn, open, false);
+        RecordAttemptHealth(turn, open, false);
         CancelRunning(turn, open);
         RetryOrGiveUp(turn, open, "no answer came in time");
       }
@@ -318,9 +326,9 @@
       ExpireRequest(turn, open->second);
     }
   }
-  constexpr Milliseconds kWithdrawnMemory{30000};
+  constexpr Milliseconds kWithdrawnRetention{30000};
   std::erase_if(turn.tier.withdrawn, [&](const auto& item) {
-    return turn.context.now - item.second > kWithdrawnMemory;
+    return turn.context.now - item.second > kWithdrawnRetention;
   });
   DrainQueues(turn);
 }
@@ -331,7 +339,7 @@
     HandleArrived(this->turn, event);
   }
   void operator()(const CallerLeft& event) {
-    HandleCallerLeft(this->turn, event);
+    HandleCallerDisconnected(this->turn, event);
   }
   void operator()(const AttemptEnded& event) {
     HandleAttemptEnded(this->turn, event);
@@ -346,9 +354,9 @@
 
 wire::Answer RefusalOf(const HttpRequest& request, int status,
                        const std::string& reason) {
-  // Another copy of a request with a key may have run elsewhere.
-  const bool keyed = !HeaderOf(request, kKeyHeader).empty();
-  return PlainAnswer(status, keyed ? "unknown" : "not-run", reason);
+  // Another instance may have run a copy of a request with a key.
+  const bool has_key = !GetHeader(request, kKeyHeader).empty();
+  return BuildPlainAnswer(status, has_key ? "unknown" : "not-run", reason);
 }
 
 std::vector<RequestEffect> Reduce(RequestTier& tier, const RequestEvent& event,
@@ -370,10 +378,10 @@
   wire::HeaderField& field = *whole.add_headers();
   field.set_name(std::string(kOutcomeHeader));
   field.set_value("complete");
-  if (!open.key.empty() && whole.body().size() <= kLargestRememberedBody) {
+  if (!open.key.empty() && whole.body().size() <= kMaxRecordedBodyBytes) {
     SendOutcomes(turn, open, wire::DONE, whole);
   }
-  Close(turn, open, whole);
+  CloseRequest(turn, open, whole);
 }
 
 void FinishNotRun(RequestTurn& turn, OpenRequest& open,
@@ -385,29 +393,31 @@
   }
   Count(turn, "not_run");
   if (open.phase == RequestPhase::kClaiming ||
-      open.phase == RequestPhase::kWaiting) {
-    // The claim was never dispatched, but another copy may have been.
+      open.phase == RequestPhase::kClaimBackoff) {
+    // This copy was not dispatched, but another copy may have been.
     WithdrawClaim(turn, open);
-    Close(turn, open, PlainAnswer(kStatusUnknown, "unknown", reason));
+    CloseRequest(turn, open,
+                 BuildPlainAnswer(kStatusUnknown, "unknown", reason));
     return;
   }
-  const wire::Answer answer = PlainAnswer(kStatusNotRun, "not-run", reason);
+  const wire::Answer answer =
+      BuildPlainAnswer(kStatusNotRun, "not-run", reason);
   if (!open.key.empty()) {
     SendOutcomes(turn, open, wire::NOT_RUN, answer);
   }
-  Close(turn, open, answer);
+  CloseRequest(turn, open, answer);
 }
 
 void FinishUnknown(RequestTurn& turn, OpenRequest& open,
                    const std::string& reason) {
   Count(turn, "unknown");
-  Close(turn, open, PlainAnswer(kStatusUnknown, "unknown", reason));
+  CloseRequest(turn, open, BuildPlainAnswer(kStatusUnknown, "unknown", reason));
 }
 
-void FinishAsRecorded(RequestTurn& turn, OpenRequest& open,
+void FinishFromRecord(RequestTurn& turn, OpenRequest& open,
                       const wire::OrderRecord& record) {
   Count(turn, "answered_from_record");
-  Close(turn, open, record.answer());
+  CloseRequest(turn, open, record.answer());
 }
 
 }  // namespace filbertwall
--- a/Source/Requests/RequestTier.h
+++ b/Source/Requests/RequestTier.h
@@ -14,10 +14,10 @@
 #include "Rules/Rules.h"
 #include "Wire/wire.pb.h"
 
-/// Decides what happens to each request of a caller.
+/// Routes, queues, retries and answers the HTTP requests of callers.
 ///
-/// A reducer: its events are what callers, backend servers and recorders do,
-/// its effects what this instance does in return. See
+/// A reducer: it maps events from callers, backend servers and recorders to
+/// effects that the instance carries out, and does no I/O itself. See
 /// docs/design/0003-orders.md and 0004-requests.md. Not thread safe.
 namespace filbertwall {
 
@@ -29,43 +29,50 @@
   std::string body;
 };
 
-/// Names of the header fields that filbertwall defines; see docs/requests.md.
+/// Names of the header fields that have a meaning to filbertwall; see
+/// docs/requests.md.
 inline constexpr std::string_view kOutcomeHeader = "Filbertwall-Outcome";
 inline constexpr std::string_view kDeadlineHeader = "Filbertwall-Deadline-Ms";
 inline constexpr std::string_view kNotRunHeader = "Filbertwall-Not-Run";
 inline constexpr std::string_view kGenerationHeader = "Filbertwall-Generation";
 inline constexpr std::string_view kKeyHeader = "Idempotency-Key";
 
-/// How one attempt at a backend server ended.
+/// The result of one attempt at a backend server.
 struct AttemptResult {
   enum class Kind {
-    kAnswered,  ///< A whole answer arrived.
-    kNotSent,   ///< No byte of the request left this instance.
-    kLost,      ///< Anything else; it may have run.
+    kAnswered,  ///< A complete response was received.
+    kNotSent,   ///< No byte of the request was sent.
+    kLost,      ///< Any other failure; the request may have run.
   };
   Kind kind = Kind::kLost;
   wire::Answer answer;
 };
 
-enum class RequestPhase { kClaiming, kWaiting, kQueued, kRunning };
+enum class RequestPhase {
+  kClaiming,      ///< A claim was sent to recorders of the key.
+  kClaimBackoff,  ///< The claim was withdrawn and will be retried.
+  kQueued,        ///< Waits for a free slot.
+  kRunning        ///< An attempt is in flight at a backend server.
+};
 
-/// A claim on the recorders of a key.
+/// The state of an order's claim, which must be granted by a majority of the
+/// recorders of its key before the order is dispatched.
 struct ClaimState {
-  std::vector<std::uint32_t> recorders;  ///< In order of asking.
-  std::set<std::uint32_t> granted;       ///< Grants of recorders that vouch.
-  std::set<std::uint32_t> stored;        ///< All that hold the claim.
-  std::size_t asked = 0;
+  std::vector<std::uint32_t> recorders;  ///< In the order of sending.
+  std::set<std::uint32_t> granted;       ///< Granted and confirmed as new.
+  std::set<std::uint32_t> stored;        ///< All recorders that granted it.
+  std::size_t asked = 0;  ///< Number of recorders the claim was sent to.
   std::uint64_t attempt = 0;
   TimePoint started_at;
-  TimePoint next_step_at;
-  std::uint32_t tries = 0;
+  TimePoint next_action_at;
+  std::uint32_t claim_attempts = 0;
 };
 
 struct OpenRequest {
   std::uint64_t id = 0;
   HttpRequest request;
   std::string service;
-  std::string key;  ///< Empty without an Idempotency-Key.
+  std::string key;  ///< Service and Idempotency-Key; empty unless an order.
   std::uint32_t generation = 1;
   bool idempotent = false;
   std::uint32_t retries_left = 0;
@@ -74,8 +81,8 @@
   TimePoint arrived_at;
   TimePoint deadline;
   RequestPhase phase = RequestPhase::kQueued;
-  bool caller_left = false;
-  bool may_have_run = false;  ///< An attempt was lost or cancelled.
+  bool caller_disconnected = false;
+  bool may_have_run = false;  ///< An attempt was lost or timed out.
   std::set<Endpoint> tried;
   std::uint32_t attempts = 0;
   std::uint64_t attempt = 0;
@@ -85,36 +92,37 @@
   ClaimState claim;
 };
 
-/// Retries that a service may spend before any request has earned one.
-inline constexpr double kFirstRetryTokens = 5.0;
+/// Retry budget of a service before any request has added to it.
+inline constexpr double kInitialRetryTokens = 5.0;
 
-/// Load figures of one service at this instance.
+/// Load, retry budget and queues of one service at this instance.
 struct ServiceLoad {
   double mean_service_ms = 0.0;
-  double retry_tokens = kFirstRetryTokens;
+  double retry_tokens = kInitialRetryTokens;
   std::uint32_t running = 0;
-  std::deque<std::uint64_t> interactive;  ///< Queued requests by arrival.
+  std::deque<std::uint64_t> interactive;  ///< Queued request ids.
   std::deque<std::uint64_t> bulk;
 };
 
 struct RequestTier {
   std::uint32_t self = 0;
   std::uint64_t incarnation = 0;
-  std::vector<std::uint32_t> recorder_pool;  ///< Entry instances, all sorted.
+  std::vector<std::uint32_t> recorder_pool;  ///< All entry instances, sorted.
   std::uint64_t next_attempt = 1;
   bool stopping = false;
   std::map<std::uint64_t, OpenRequest> open;
-  std::map<std::uint64_t, std::uint64_t> attempts;  ///< Attempt to request.
-  std::map<std::uint64_t, TimePoint> withdrawn;     ///< Claims given up.
+  /// Attempt id to request id, for both claims and attempts at servers.
+  std::map<std::uint64_t, std::uint64_t> attempts;
+  std::map<std::uint64_t, TimePoint> withdrawn;  ///< Claims withdrawn.
   std::map<std::string, ServiceLoad> services;
   std::map<std::string, std::uint64_t> counters;
 };
 
-/// What the tier decides by, besides its own state.
+/// Inputs to the handling of an event, besides the state in RequestTier.
 struct RequestContext {
   const Rules& rules;
   Directory& directory;
-  const std::set<std::uint32_t>& silent;  ///< Instances thought to be down.
+  const std::set<std::uint32_t>& silent;  ///< Instances considered down.
   TimePoint now;
 };
 
@@ -160,11 +168,13 @@
 using RequestEffect = std::variant<StartAttempt, CancelAttempt, AnswerCaller,
                                    SendClaim, SendOutcome>;
 
-/// The answer to a request that this instance does not take at all: "not run"
-/// without a key, else "unknown", since other copies may be elsewhere. Pure.
+/// Returns the response to a request that this instance rejects on arrival.
+/// The outcome is "not-run" for a request without a key and "unknown" for one
+/// with a key, since another instance may have run a copy. Pure.
 wire::Answer RefusalOf(const HttpRequest& request, int status,
                        const std::string& reason);
 
+/// Applies the event to the state and returns the resulting effects in order.
 std::vector<RequestEffect> Reduce(RequestTier& tier, const RequestEvent& event,
                                   RequestContext context);
 
--- a/Tests/Requests/RequestsTest.cc
+++ b/Tests/Requests/RequestsTest.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-HttpRequest Order(const std::string& key) {
+HttpRequest MakeOrder(const std::string& key) {
   HttpRequest request{.method = "POST", .path = "/orders", .host = "shop"};
   wire::HeaderField field;
   field.set_name("idempotency-key");
@@ -20,7 +20,7 @@
   return request;
 }
 
-HttpRequest Lookup() {
+HttpRequest MakeLookup() {
   return {.method = "GET", .path = "/stock", .host = "shop"};
 }
 
@@ -35,7 +35,7 @@
   return result;
 }
 
-std::string OutcomeOf(const wire::Answer& answer) {
+std::string GetOutcome(const wire::Answer& answer) {
   for (const wire::HeaderField& field : answer.headers()) {
     if (field.name() == kOutcomeHeader) {
       return field.value();
@@ -46,7 +46,8 @@
 
 }  // namespace
 
-/// One instance alone, as the only recorder, before fake backend servers.
+/// One instance, the only recorder of its orders, and simulated backend
+/// servers.
 TEST_GROUP(Requests) {
   Rules rules;
   Directory directory;
@@ -105,12 +106,13 @@
                                    .silent = this->silent,
                                    .now = this->now};
       for (const RequestEffect& effect : Reduce(this->tier, next, context)) {
-        this->Take(effect, events);
+        this->HandleEffect(effect, events);
       }
     }
   }
 
-  void Take(const RequestEffect& effect, std::vector<RequestEvent>& events) {
+  void HandleEffect(const RequestEffect& effect,
+                    std::vector<RequestEvent>& events) {
     if (const auto* start = std::get_if<StartAttempt>(&effect)) {
       this->started.push_back(*start);
     } else if (const auto* cancel = std::get_if<CancelAttempt>(&effect)) {
@@ -128,69 +130,71 @@
   void Arrive(std::uint64_t id, const HttpRequest& request) {
     this->Run(RequestArrived{.id = id, .request = request});
   }
-  void End(const AttemptResult& result) {
+  void EndLastAttempt(const AttemptResult& result) {
     this->Run(AttemptEnded{.attempt = this->started.back().attempt,
                            .result = result});
   }
-  void Pass(Milliseconds time) {
+  void AdvanceTime(Milliseconds time) {
     this->now += time;
     this->Run(RequestTick{});
   }
-  std::string Outcome(std::uint64_t id) { return OutcomeOf(this->answers[id]); }
+  std::string Outcome(std::uint64_t id) {
+    return GetOutcome(this->answers[id]);
+  }
 };
 
-TEST(Requests, LostOrderIsUnknownAndNeverTriedAgain) {
-  this->Arrive(1, Order("k"));
-  this->End({.kind = AttemptResult::Kind::kLost});
+TEST(Requests, LostOrderIsUnknownAndNotRetried) {
+  this->Arrive(1, MakeOrder("k"));
+  this->EndLastAttempt({.kind = AttemptResult::Kind::kLost});
   STRCMP_EQUAL("unknown", this->Outcome(1).c_str());
-  this->Arrive(2, Order("k"));
-  this->Pass(Milliseconds(3000));
+  this->Arrive(2, MakeOrder("k"));
+  this->AdvanceTime(Milliseconds(3000));
   STRCMP_EQUAL("unknown", this->Outcome(2).c_str());
   CHECK_EQUAL(1, this->started.size());
 }
 
-TEST(Requests, ServerErrorWithoutTheSignIsTheOrdersOutcome) {
-  this->Arrive(1, Order("k"));
-  this->End(Answered(503));
+TEST(Requests, ServerErrorWithoutNotRunHeaderIsFinal) {
+  this->Arrive(1, MakeOrder("k"));
+  this->EndLastAttempt(Answered(503));
   CHECK_EQUAL(503, this->answers[1].status());
   STRCMP_EQUAL("complete", this->Outcome(1).c_str());
   CHECK_EQUAL(1, this->started.size());
 }
 
-TEST(Requests, OrderRefusedBeforeRunningIsTriedElsewhere) {
-  this->Arrive(1, Order("k"));
-  this->End(Answered(503, true));
+TEST(Requests, OrderRefusedBeforeRunningIsRetriedOnAnotherServer) {
+  this->Arrive(1, MakeOrder("k"));
+  this->EndLastAttempt(Answered(503, true));
   CHECK_EQUAL(2, this->started.size());
   CHECK(this->started[0].backend != this->started[1].backend);
-  this->End(Answered(200));
+  this->EndLastAttempt(Answered(200));
   CHECK_EQUAL(200, this->answers[1].status());
 }
 
-TEST(Requests, OrderThatAllServersRefuseWaitsForASlot) {
-  this->Arrive(1, Order("k"));
-  this->End(Answered(503, true));
-  this->End(Answered(503, true));
+TEST(Requests, OrderRefusedByAllServersIsQueuedUntilASlotIsFree) {
+  this->Arrive(1, MakeOrder("k"));
+  this->EndLastAttempt(Answered(503, true));
+  this->EndLastAttempt(Answered(503, true));
   CHECK_EQUAL(2, this->started.size());
   CHECK_FALSE(this->answers.contains(1));
-  this->Pass(Milliseconds(10));
+  this->AdvanceTime(Milliseconds(10));
   CHECK_EQUAL(3, this->started.size());
-  this->End(Answered(200));
+  this->EndLastAttempt(Answered(200));
   CHECK_EQUAL(200, this->answers[1].status());
 }
 
-TEST(Requests, NotRunStaysTrueForLaterCopies) {
+TEST(Requests, NotRunIsFinalForLaterCopies) {
   for (int i = 0; i < 6; ++i) {
     if (i == 0) {
-      this->Arrive(1, Order("k"));
+      this->Arrive(1, MakeOrder("k"));
     }
-    this->End({.kind = AttemptResult::Kind::kNotSent});
+    this->EndLastAttempt({.kind = AttemptResult::Kind::kNotSent});
   }
   STRCMP_EQUAL("not-run", this->Outcome(1).c_str());
   const std::size_t before = this->started.size();
-  this->Arrive(2, Order("k"));
+  this->Arrive(2, MakeOrder("k"));
   STRCMP_EQUAL("not-run", this->Outcome(2).c_str());
   CHECK_EQUAL(before, this->started.size());
-  HttpRequest again = Order("k");
+  HttpRequest again = MakeOrder("k");
   wire::HeaderField field;
   field.set_name(std::string(kGenerationHeader));
   field.set_value("2");
@@ -201,9 +205,9 @@
   CHECK_EQUAL(before + 1, this->started.size());
 }
 
-TEST(Requests, LookupThatMayHaveRunIsNeverCalledNotRun) {
-  this->Arrive(1, Lookup());
-  this->End({.kind = AttemptResult::Kind::kLost});
+TEST(Requests, LookupThatMayHaveRunIsNotReportedAsNotRun) {
+  this->Arrive(1, MakeLookup());
+  this->EndLastAttempt({.kind = AttemptResult::Kind::kLost});
   this->directory.backends.clear();
   this->Announce("1.1.1.3:9", 1, "other");
   this->Run(AttemptEnded{.attempt = this->started.back().attempt,
@@ -214,46 +218,46 @@
 TEST(Requests, RetriesStayWithinTheBudget) {
   constexpr std::uint64_t kRequests = 200;
   for (std::uint64_t id = 1; id <= kRequests; ++id) {
-    this->Arrive(id, Lookup());
+    this->Arrive(id, MakeLookup());
     while (!this->answers.contains(id)) {
-      this->End({.kind = AttemptResult::Kind::kLost});
+      this->EndLastAttempt({.kind = AttemptResult::Kind::kLost});
     }
   }
-  const auto first = static_cast<std::uint64_t>(kFirstRetryTokens);
+  const auto first = static_cast<std::uint64_t>(kInitialRetryTokens);
   CHECK(this->started.size() <= kRequests + kRequests / 10 + first);
 }
 
-TEST(Requests, LateAnswerOfACancelledAttemptGoesToNobody) {
-  this->Arrive(1, Lookup());
+TEST(Requests, LateAnswerOfACancelledAttemptIsDiscarded) {
+  this->Arrive(1, MakeLookup());
   const std::uint64_t first = this->started.back().attempt;
-  this->Pass(Milliseconds(700));
+  this->AdvanceTime(Milliseconds(700));
   CHECK_EQUAL(1, this->cancelled.size());
   this->Run(AttemptEnded{.attempt = first, .result = Answered(200)});
   CHECK_FALSE(this->answers.contains(1));
 }
 
-TEST(Requests, SlotsAreRespectedAndInteractiveGoesFirst) {
+TEST(Requests, SlotLimitHoldsAndInteractiveRequestsGoFirst) {
   for (std::uint64_t id = 1; id <= 4; ++id) {
-    this->Arrive(id, Order("k" + std::to_string(id)));
+    this->Arrive(id, MakeOrder("k" + std::to_string(id)));
   }
   CHECK_EQUAL(4, this->started.size());
-  this->Arrive(5, Order("k5"));
-  this->Arrive(6, Lookup());
+  this->Arrive(5, MakeOrder("k5"));
+  this->Arrive(6, MakeLookup());
   CHECK_EQUAL(4, this->started.size());
-  this->End(Answered(200));
+  this->EndLastAttempt(Answered(200));
   CHECK_EQUAL(5, this->started.size());
   STRCMP_EQUAL("GET", this->started.back().request.method.c_str());
 }
 
-TEST(Requests, WorkThatCanNotMakeItIsRefusedAtOnce) {
+TEST(Requests, RequestBeyondTheQueueLimitIsRefusedAtOnce) {
   for (std::uint64_t id = 1; id <= 14; ++id) {
-    this->Arrive(id, Order("k" + std::to_string(id)));
+    this->Arrive(id, MakeOrder("k" + std::to_string(id)));
   }
-  this->Arrive(15, Order("late"));
+  this->Arrive(15, MakeOrder("late"));
   STRCMP_EQUAL("not-run", this->Outcome(15).c_str());
 }
 
-TEST(Requests, AnnouncedLoadOfOthersCountsAndAges) {
+TEST(Requests, AnnouncedLoadOfOtherInstancesDecays) {
   this->Announce("1.1.1.1:9", 9, "shop", 2);
   const Backend& backend =
       this->directory.backends.at(*ParseEndpoint("1.1.1.1:9"));
@@ -262,24 +266,24 @@
                 0.01);
 }
 
-TEST(Requests, ReannouncedServerTakesNoneOfTheOldServicesRequests) {
+TEST(Requests, ReannouncedServerGetsNoRequestsOfTheOldService) {
   this->Announce("1.1.1.1:9", 9, "other");
   this->Announce("1.1.1.2:9", 9, "other");
-  this->Arrive(1, Lookup());
+  this->Arrive(1, MakeLookup());
   STRCMP_EQUAL("not-run", this->Outcome(1).c_str());
   CHECK(this->started.empty());
 }
 
-TEST(Requests, SilentServersAreTriedWhenNoOtherIsLeft) {
+TEST(Requests, ServersWithLapsedLeaseAreTriedWhenNoOthersRemain) {
   this->now += std::chrono::seconds(40);
-  this->Arrive(1, Lookup());
+  this->Arrive(1, MakeLookup());
   CHECK_EQUAL(1, this->started.size());
 }
 
-TEST(Requests, KeyOfAnotherRequestIsRefused) {
-  this->Arrive(1, Order("k"));
-  this->End(Answered(200));
-  HttpRequest other = Order("k");
+TEST(Requests, KeyReusedForAnotherRequestIsRefused) {
+  this->Arrive(1, MakeOrder("k"));
+  this->EndLastAttempt(Answered(200));
+  HttpRequest other = MakeOrder("k");
   other.body = "something else";
   this->Arrive(2, other);
   CHECK_EQUAL(422, this->answers[2].status());
@@ -287,9 +291,9 @@
 
 TEST(Requests, CopyRefusedByAStoppingInstanceIsUnknown) {
   this->tier.stopping = true;
-  this->Arrive(1, Order("k"));
+  this->Arrive(1, MakeOrder("k"));
   STRCMP_EQUAL("unknown", this->Outcome(1).c_str());
-  this->Arrive(2, Lookup());
+  this->Arrive(2, MakeLookup());
   STRCMP_EQUAL("not-run", this->Outcome(2).c_str());
 }
 
@@ -301,16 +305,16 @@
   CHECK(TakeClaim(fresh, claim, this->now).amnesiac());
   MergeRecords(fresh, 2, {}, this->now);
   CHECK(TakeClaim(fresh, claim, this->now).granted());
-  CHECK_FALSE(Vouches(fresh, "k"));
-  wire::RecordsPage lost_at_both;
-  lost_at_both.add_unsure_with(1);
-  MergeRecords(fresh, 3, lost_at_both, this->now);
-  CHECK_FALSE(Vouches(fresh, "k"));
+  CHECK_FALSE(HasCompleteRecords(fresh, "k"));
+  wire::RecordsPage lost_at_both_recorders;
+  lost_at_both_recorders.add_unsure_with(1);
+  MergeRecords(fresh, 3, lost_at_both_recorders, this->now);
+  CHECK_FALSE(HasCompleteRecords(fresh, "k"));
   MergeRecords(fresh, 3, {}, this->now);
-  CHECK(Vouches(fresh, "k"));
+  CHECK(HasCompleteRecords(fresh, "k"));
 }
 
-TEST(Requests, MemoryOfAnswersIsBounded) {
+TEST(Requests, AnswerMemoryIsBounded) {
   OrderLog small{.answer_byte_limit = 1000};
   wire::OrderRecord record;
   record.set_phase(wire::DONE);
@@ -329,7 +333,7 @@
   CHECK_EQUAL(0, small.answer_bytes);
 }
 
-TEST(Requests, MemoryOfOrdersIsBounded) {
+TEST(Requests, OrderRecordCountIsBounded) {
   OrderLog small{.limit = 10};
   wire::Claim claim;
   for (int i = 0; i < 20; ++i) {
