--- a/Source/Backends/Directory.cc
+++ b/Source/Backends/Directory.cc
@@ -7,10 +7,10 @@
 namespace filbertwall {
 namespace {
 
-constexpr int kLeasesUntilForgotten = 6;
+constexpr int kLeasesBeforeRemoval = 6;
 
-bool MayTakeNewWork(const Rules& rules, const Backend& backend,
-                    const std::string& service) {
+bool AcceptsNewRequests(const Rules& rules, const Backend& backend,
+                        const std::string& service) {
   return backend.announcement.service() == service &&
          backend.announcement.phase() == wire::READY &&
          WeightOf(rules, service, backend.address) > 0;
@@ -19,14 +19,14 @@
 }  // namespace
 
 std::string CheckAnnouncement(const wire::Announcement& announcement) {
-  constexpr std::uint32_t kMostSlots = 100000;
+  constexpr std::uint32_t kMaxSlots = 100000;
   if (announcement.service().empty()) {
     return "service: expected the name of a service";
   }
   if (!ParseEndpoint(announcement.address())) {
     return "address: expected IP:port";
   }
-  if (announcement.slots() == 0 || announcement.slots() > kMostSlots) {
+  if (announcement.slots() == 0 || announcement.slots() > kMaxSlots) {
     return "slots: expected 1 to 100000";
   }
   if (announcement.sequence() == 0) {
@@ -45,7 +45,7 @@
   if (!added && announcement.sequence() <= backend.announcement.sequence()) {
     return false;
   }
-  directory.digest ^= added ? 0 : DigestOf(backend);
+  directory.digest ^= added ? 0 : ComputeDigest(backend);
   const wire::Announcement& before = backend.announcement;
   const bool changed = added || before.service() != announcement.service() ||
                        before.phase() != announcement.phase() ||
@@ -59,14 +59,14 @@
   backend.announcement = announcement;
   backend.data_centre = record.data_centre();
   backend.announced_at = std::max(backend.announced_at, announced_at);
-  backend.own_when_announced = backend.own_in_flight;
-  directory.digest ^= DigestOf(backend);
+  backend.own_in_flight_when_announced = backend.own_in_flight;
+  directory.digest ^= ComputeDigest(backend);
   directory.generation += changed ? 1 : 0;
   return true;
 }
 
 void ForgetSilent(Directory& directory, TimePoint now) {
-  const Milliseconds limit = directory.lease * kLeasesUntilForgotten;
+  const Milliseconds limit = directory.lease * kLeasesBeforeRemoval;
   for (auto item = directory.backends.begin();
        item != directory.backends.end();) {
     const Backend& backend = item->second;
@@ -75,13 +75,13 @@
       ++item;
       continue;
     }
-    directory.digest ^= DigestOf(backend);
+    directory.digest ^= ComputeDigest(backend);
     directory.generation += 1;
     item = directory.backends.erase(item);
   }
 }
 
-std::uint64_t DigestOf(const Backend& backend) {
+std::uint64_t ComputeDigest(const Backend& backend) {
   const wire::Announcement& announcement = backend.announcement;
   const std::uint64_t address = static_cast<std::uint64_t>(backend.address.ip)
                                     << 16 |
@@ -104,12 +104,14 @@
 
 bool IsUsable(const Directory& directory, const Backend& backend,
               const std::string& service, TimePoint now) {
-  const bool leased = now - backend.announced_at <= directory.lease;
-  const bool works = backend.last_success.time_since_epoch().count() != 0 &&
-                     now - backend.last_success <= directory.lease &&
-                     backend.last_success > backend.last_failure;
+  const bool lease_valid = now - backend.announced_at <= directory.lease;
+  const bool recently_succeeded =
+      backend.last_success.time_since_epoch().count() != 0 &&
+      now - backend.last_success <= directory.lease &&
+      backend.last_success > backend.last_failure;
   return backend.announcement.service() == service &&
-         backend.announcement.phase() == wire::READY && (leased || works);
+         backend.announcement.phase() == wire::READY &&
+         (lease_valid || recently_succeeded);
 }
 
 std::vector<const Backend*> CandidatesFor(const Directory& directory,
@@ -119,11 +121,11 @@
   std::vector<const Backend*> usable;
   std::vector<const Backend*> lapsed;
   for (const auto& [address, backend] : directory.backends) {
-    if (!MayTakeNewWork(rules, backend, service)) {
+    if (!AcceptsNewRequests(rules, backend, service)) {
       continue;
     }
-    const bool good = IsUsable(directory, backend, service, now);
-    (good ? usable : lapsed).push_back(&backend);
+    const bool is_usable = IsUsable(directory, backend, service, now);
+    (is_usable ? usable : lapsed).push_back(&backend);
   }
   return usable.empty() ? lapsed : usable;
 }
--- a/Source/Requests/Balancer.cc
+++ b/Source/Requests/Balancer.cc
@@ -59,8 +59,9 @@
 
 double EstimatedLoad(const Backend& backend, TimePoint now) {
   const auto announced = backend.announcement.in_flight();
-  const double others = std::max<double>(
-      0.0, static_cast<double>(announced) - backend.own_when_announced);
+  const double others =
+      std::max<double>(0.0, static_cast<double>(announced) -
+                                backend.own_in_flight_when_announced);
   const auto age_ms =
       static_cast<double>(MillisecondsBetween(backend.announced_at, now));
   const double decay =
--- a/Source/Requests/RequestTier.cc
+++ b/Source/Requests/RequestTier.cc
@@ -147,7 +147,7 @@
   Backend& backend = found->second;
   if (success) {
     backend.consecutive_failures = 0;
-    backend.refusals_in_row = 0;
+    backend.consecutive_refusals = 0;
     backend.last_success = turn.context.now;
     return;
   }
@@ -166,8 +166,8 @@
   }
   Backend& backend = found->second;
   const std::uint32_t doublings =
-      std::min(backend.refusals_in_row, kMaxDoublings);
-  backend.refusals_in_row += 1;
+      std::min(backend.consecutive_refusals, kMaxDoublings);
+  backend.consecutive_refusals += 1;
   backend.full_until = turn.context.now + kInitialPause * (1U << doublings);
 }
 
