--- a/Source/Requests/RequestTier.h
+++ b/Source/Requests/RequestTier.h
@@ -104,10 +104,11 @@
   std::deque<std::uint64_t> bulk;
 };
 
+/// Open requests, attempts and per-service load of one instance.
 struct RequestTier {
   std::uint32_t self = 0;
   std::uint64_t incarnation = 0;
-  std::vector<std::uint32_t> recorder_pool;  ///< All entry instances, sorted.
+  std::vector<std::uint32_t> recorder_pool;  ///< All entry instances.
   std::uint64_t next_attempt = 1;
   bool stopping = false;
   std::map<std::uint64_t, OpenRequest> open;
--- a/Source/Requests/RequestTurn.h
+++ b/Source/Requests/RequestTurn.h
@@ -36,6 +36,8 @@
 /// Precondition: no attempt of the request can still be running.
 void FinishNotRun(RequestTurn& turn, OpenRequest& open,
                   const std::string& reason);
+/// Reports "unknown". Sends no outcome, so the recorders keep the INTENT of an
+/// order and its copies get "unknown" as well.
 void FinishUnknown(RequestTurn& turn, OpenRequest& open,
                    const std::string& reason);
 /// Returns the recorded outcome of another copy of the order.
