--- a/Source/Control/ControlState.cc
+++ b/Source/Control/ControlState.cc
@@ -12,7 +12,7 @@
   record.set_digest(file.digest());
   record.set_submitter(file.submitter());
   if (state.history_size() > kHistoryLimit) {
-    // Trims a tenth of the history at once to amortise the cost of trimming.
+    // Removes a tenth of the history at once to amortise the cost of removal.
     const int trimmed = kHistoryLimit / 10;
     state.mutable_history()->DeleteSubrange(0, trimmed);
     state.set_history_floor(state.history(0).version());
@@ -75,7 +75,7 @@
   if (file.version() < state.history_floor()) {
     return {.kind = Ruling::Kind::kForgotten,
             .reason = "version " + std::to_string(file.version()) +
-                      " is older than the history that is kept"};
+                      " is older than the retained history"};
   }
   const auto& history = state.history();
   const auto record = std::lower_bound(
@@ -86,7 +86,7 @@
   if (record == history.end() || record->version() != file.version()) {
     return {.kind = Ruling::Kind::kRefused,
             .reason = "version " + std::to_string(file.version()) +
-                      " is behind version " +
+                      " is lower than version " +
                       std::to_string(state.rules().version()) +
                       ", accepted from " + state.rules().submitter()};
   }
@@ -98,7 +98,7 @@
   return {.kind = Ruling::Kind::kRefused,
           .reason = "version " + std::to_string(file.version()) +
                     " was already accepted from " + record->submitter() +
-                    " with another text"};
+                    " with different content"};
 }
 
 bool IsVoter(const wire::ControlState& state, std::uint32_t instance,
--- a/Source/Control/ControlState.h
+++ b/Source/Control/ControlState.h
@@ -6,13 +6,14 @@
 
 #include "Wire/wire.pb.h"
 
-/// The replicated state of the control instances, as a pure state machine.
+/// The replicated state of the control instances: the voters, the current rules
+/// file and the history of accepted versions. The functions are pure.
 namespace filbertwall {
 
-/// Upper bound of the version records kept in the history.
+/// Upper bound of the accepted rules file versions kept in the history.
 constexpr int kHistoryLimit = 100000;
 
-/// What the committed history says about a submitted rules file.
+/// The decision on a submitted rules file, as found in the committed history.
 struct Ruling {
   enum class Kind { kOpen, kAccepted, kRefused, kForgotten };
   Kind kind = Kind::kOpen;
@@ -22,16 +23,18 @@
 /// Applies a committed entry. Precondition: `entry.seq() == state.seq() + 1`.
 void ApplyEntry(wire::ControlState& state, const wire::Entry& entry);
 
-/// Looks a rules file up in the committed history only. kOpen: the file may be
-/// proposed. kForgotten: the history no longer covers its version. kAccepted
-/// and kRefused are final, whichever instance returns them.
+/// Looks up the decision on a rules file in the committed history only.
+/// kAccepted and kRefused are final, whichever instance returns them. kOpen: no
+/// decision was made yet and the file may be proposed. kForgotten: the version
+/// is older than the retained history, so the decision is no longer known.
 Ruling RuleOn(const wire::ControlState& state, const wire::RulesFile& file);
 
 /// Whether `incarnation` of `instance` is a voter in `state`.
 bool IsVoter(const wire::ControlState& state, std::uint32_t instance,
              std::uint64_t incarnation);
 
-/// Whether this incarnation is a removed voter, which cannot vote again.
+/// Whether `incarnation` of `instance` was a voter and has been removed. It
+/// cannot become a voter again.
 bool WasRemoved(const wire::ControlState& state, std::uint32_t instance,
                 std::uint64_t incarnation);
 
--- a/Source/Control/Replica.cc
+++ b/Source/Control/Replica.cc
@@ -9,12 +9,12 @@
 namespace filbertwall {
 namespace {
 
-/// A voter without a leader for this long sends join requests, in case it is no
-/// longer a voter.
-constexpr Milliseconds kLeaderlessLimit{4000};
+/// With open membership, a voter without a leader for this long sends join
+/// requests, in case it is no longer a voter.
+constexpr Milliseconds kLeaderlessTimeout{4000};
 
-/// Returns a pseudo-random delay, so that two candidates rarely start an
-/// election at the same time.
+/// Returns a pseudo-random delay below `election_spread`, so that two replicas
+/// rarely start an election at the same time.
 Milliseconds ElectionJitter(const Replica& replica) {
   const std::uint64_t hash =
       MixHash(MixHash(replica.config.self, replica.incarnation),
@@ -22,71 +22,72 @@
   return Milliseconds(hash % replica.config.election_spread.count());
 }
 
-/// Ends leadership whose lease has expired. This runs before any event is
-/// handled, since a suspended process may resume long after its lease.
-void ExpireLeadership(ReplicaTurn& turn) {
-  Replica& replica = turn.replica;
+/// Steps down if the lease of this leader has expired. This runs before any
+/// event is handled, since a suspended process may resume long after the end of
+/// its lease. A new leader has one lease duration to obtain its first lease.
+void ExpireLeadership(ReduceContext& context) {
+  Replica& replica = context.replica;
   const bool initial_lease_elapsed =
-      turn.now >= replica.elected_at + replica.config.lease;
+      context.now >= replica.elected_at + replica.config.lease;
   if (replica.role == ReplicaRole::kLeader && initial_lease_elapsed &&
-      !HasLease(replica, turn.now)) {
-    StepDown(turn);
+      !HasLease(replica, context.now)) {
+    StepDown(context);
   }
 }
 
-void HandleStarted(ReplicaTurn& turn) {
-  Replica& replica = turn.replica;
-  replica.leaderless_since = turn.now;
-  // The lease granted before the restart is not on disk, so it is assumed to be
-  // valid for `restart_wait`.
-  replica.lease_granted_until = turn.now + replica.config.restart_wait;
+void HandleStarted(ReduceContext& context) {
+  Replica& replica = context.replica;
+  replica.leaderless_since = context.now;
+  // A lease granted before the restart is not stored on disk, so this replica
+  // assumes that it granted one that ends after `restart_wait`.
+  replica.lease_granted_until = context.now + replica.config.restart_wait;
   replica.election_at = replica.lease_granted_until + ElectionJitter(replica);
   const bool only_voter =
       IsVoter(replica) && replica.committed.members_size() == 1;
   if (only_voter) {
-    StartElection(turn);
+    StartElection(context);
   }
 }
 
-void HandleTick(ReplicaTurn& turn) {
-  Replica& replica = turn.replica;
+void HandleTick(ReduceContext& context) {
+  Replica& replica = context.replica;
   if (!IsVoter(replica)) {
-    RequestJoin(turn);
+    RequestJoin(context);
     return;
   }
   if (replica.role == ReplicaRole::kLeader) {
-    if (turn.now >= replica.heartbeat_at) {
-      SendHeartbeats(turn);
+    if (context.now >= replica.heartbeat_at) {
+      SendHeartbeats(context);
     }
-    UpdateMembership(turn);
+    UpdateMembership(context);
     return;
   }
   const bool without_leader =
       replica.config.open_membership &&
-      turn.now > replica.leaderless_since + kLeaderlessLimit;
+      context.now > replica.leaderless_since + kLeaderlessTimeout;
   if (without_leader) {
-    // The replica may have been removed, or know only voters that have been
-    // replaced.
-    RequestJoin(turn);
+    // The replica may have been removed, or all voters that it knows may have
+    // been replaced.
+    RequestJoin(context);
   }
-  if (turn.now >= replica.election_at) {
-    StartElection(turn);
+  if (context.now >= replica.election_at) {
+    StartElection(context);
   }
 }
 
-void HandleReceived(ReplicaTurn& turn, const ControlReceived& event) {
-  Replica& replica = turn.replica;
+void HandleReceived(ReduceContext& context, const ControlReceived& event) {
+  Replica& replica = context.replica;
   const wire::ControlMessage& message = event.message;
   const bool has_no_state = replica.committed.cluster() == 0;
   if (replica.role == ReplicaRole::kLeader &&
       IsVoter(replica.committed, event.from, message.incarnation())) {
-    replica.voter_heard_at[event.from] = turn.now;
+    replica.voter_heard_at[event.from] = context.now;
   }
   if (message.has_join()) {
     const bool other_cluster = message.cluster() != 0 &&
                                message.cluster() != replica.committed.cluster();
     if (!has_no_state && !other_cluster) {
-      HandleJoin(turn,
+      HandleJoin(context,
                  JoinRequest{.instance = event.from,
                              .incarnation = message.incarnation(),
                              .has_state = message.cluster() != 0,
@@ -96,7 +97,7 @@
   }
   if (has_no_state) {
     if (message.has_install()) {
-      HandleInstall(turn, event.from, message.install());
+      HandleInstall(context, event.from, message.install());
     }
     return;
   }
@@ -107,33 +108,33 @@
       IsVoter(replica.committed, event.from, message.incarnation());
   switch (message.kind_case()) {
     case wire::ControlMessage::kPrepare:
-      HandlePrepare(turn, event.from, message.prepare(), from_voter);
+      HandlePrepare(context, event.from, message.prepare(), from_voter);
       return;
     case wire::ControlMessage::kPromise:
       if (from_voter) {
-        HandlePromise(turn, event.from, message.promise());
+        HandlePromise(context, event.from, message.promise());
       }
       return;
     case wire::ControlMessage::kAccept:
-      HandleAccept(turn, event.from, message.accept());
+      HandleAccept(context, event.from, message.accept());
       return;
     case wire::ControlMessage::kAccepted:
       if (from_voter) {
-        HandleAccepted(turn, event.from, message.accepted());
+        HandleAccepted(context, event.from, message.accepted());
       }
       return;
     case wire::ControlMessage::kHeartbeat:
-      HandleHeartbeat(turn, event.from, message.heartbeat());
+      HandleHeartbeat(context, event.from, message.heartbeat());
       return;
     case wire::ControlMessage::kHeartbeatAck:
       if (from_voter) {
-        HandleHeartbeatAck(turn, event.from, message.heartbeat_ack());
+        HandleHeartbeatAck(context, event.from, message.heartbeat_ack());
       } else {
-        HandleStandbyAck(turn, event.from, message.heartbeat_ack());
+        HandleStandbyAck(context, event.from, message.heartbeat_ack());
       }
       return;
     case wire::ControlMessage::kInstall:
-      HandleInstall(turn, event.from, message.install());
+      HandleInstall(context, event.from, message.install());
       return;
     case wire::ControlMessage::kJoin:
     case wire::ControlMessage::KIND_NOT_SET:
@@ -142,14 +143,14 @@
 }
 
 struct EventVisitor {
-  ReplicaTurn& turn;
-  void operator()(const ControlStarted&) { HandleStarted(this->turn); }
-  void operator()(const ControlTick&) { HandleTick(this->turn); }
+  ReduceContext& context;
+  void operator()(const ControlStarted&) { HandleStarted(this->context); }
+  void operator()(const ControlTick&) { HandleTick(this->context); }
   void operator()(const ControlReceived& event) {
-    HandleReceived(this->turn, event);
+    HandleReceived(this->context, event);
   }
   void operator()(const ControlSubmitted& event) {
-    HandleSubmitted(this->turn, event);
+    HandleSubmitted(this->context, event);
   }
 };
 
@@ -158,9 +159,9 @@
 std::vector<ControlEffect> Reduce(Replica& replica, const ControlEvent& event,
                                   TimePoint now) {
   std::vector<ControlEffect> effects;
-  ReplicaTurn turn{.replica = replica, .now = now, .effects = effects};
-  ExpireLeadership(turn);
-  std::visit(EventVisitor{.turn = turn}, event);
+  ReduceContext context{.replica = replica, .now = now, .effects = effects};
+  ExpireLeadership(context);
+  std::visit(EventVisitor{.context = context}, event);
   return effects;
 }
 
@@ -260,22 +261,22 @@
   return record;
 }
 
-void FollowLeader(ReplicaTurn& turn, std::uint32_t leader) {
-  Replica& replica = turn.replica;
+void FollowLeader(ReduceContext& context, std::uint32_t leader) {
+  Replica& replica = context.replica;
   if (replica.role != ReplicaRole::kFollower) {
-    StepDown(turn);
+    StepDown(context);
   }
   replica.leader = leader;
-  replica.leaderless_since = turn.now;
-  replica.lease_granted_until = turn.now + replica.config.lease;
+  replica.leaderless_since = context.now;
+  replica.lease_granted_until = context.now + replica.config.lease;
   replica.election_at = replica.lease_granted_until + ElectionJitter(replica);
 }
 
-void StepDown(ReplicaTurn& turn) {
-  Replica& replica = turn.replica;
+void StepDown(ReduceContext& context) {
+  Replica& replica = context.replica;
   const auto reply_unknown = [&](std::uint64_t token) {
     if (token != 0) {
-      turn.effects.emplace_back(ControlVerdict{
+      context.effects.emplace_back(ControlVerdict{
           .token = token,
           .verdict = wire::UNKNOWN,
           .reason = "no majority of the control instances was reached"});
@@ -292,13 +293,13 @@
   replica.proposal_token = 0;
   replica.role = ReplicaRole::kFollower;
   replica.leader = 0;
-  replica.leaderless_since = turn.now;
+  replica.leaderless_since = context.now;
   replica.promises.clear();
   replica.last_acked_send.clear();
   replica.voter_heard_at.clear();
   replica.standbys.clear();
   replica.election_at =
-      turn.now + replica.config.lease + ElectionJitter(replica);
+      context.now + replica.config.lease + ElectionJitter(replica);
 }
 
 }  // namespace filbertwall
--- a/Source/Control/Replica.h
+++ b/Source/Control/Replica.h
@@ -15,43 +15,53 @@
 
 /// Consensus replica of the control state at one control instance.
 ///
-/// The reducer uses no clock, socket, disk or random source. At most one entry
+/// `Reduce` uses no clock, socket, disk or random source. At most one entry
 /// is uncommitted at any time; see docs/design/0002-control.md.
 namespace filbertwall {
 
-/// Settings of a replica. All but `self` are equal at all control instances.
+/// Settings of a replica. All but `self` must be equal at all control
+/// instances.
 struct ReplicaConfig {
   std::uint32_t self = 0;
-  std::set<std::uint32_t> control_instances;  ///< Instances that may vote.
-  /// Any instance that sends a join request may become a voter, and the leader
-  /// replaces silent voters; see `VoterChange.h`.
+  std::set<std::uint32_t> control_instances;  ///< May become voters.
+  /// If set, any instance that sends a join request may become a voter, also
+  /// outside `control_instances`, and the leader replaces silent voters; see
+  /// `VoterChange.h`.
   bool open_membership = false;
-  std::uint32_t least_voters = 3;  ///< Lower bound once reached.
-  Milliseconds heartbeat_interval{100};
+  /// With open membership, the leader aims for at least this many voters and
+  /// removes none if fewer would remain.
+  std::uint32_t least_voters = 3;
+  Milliseconds heartbeat_interval{100};  ///< Of the leader.
+  /// A voter that follows a leader grants no vote to another instance for this
+  /// long. The leader holds its lease while a majority of the voters has
+  /// acknowledged heartbeats that are recent enough.
   Milliseconds lease{1000};
-  Milliseconds join_interval{300};
-  /// After a start the replica grants no vote for this long, so that it first
-  /// hears from an existing leader. If this is shorter than the lease, a
-  /// partitioned leader may hold its lease beside a new leader until it
-  /// expires.
+  Milliseconds join_interval{300};  ///< Between join requests.
+  /// After a start the replica grants no vote for this long, so that it can
+  /// first receive a message from an existing leader. If this is shorter than
+  /// `lease`, a new leader may be elected while a leader on the other side of a
+  /// network partition still holds its lease.
   Milliseconds restart_wait{1000};
-  /// Upper bound of the delay that staggers the elections of the replicas.
+  /// Upper bound of the pseudo-random delay before an election, which makes
+  /// simultaneous elections of several replicas rare.
   Milliseconds election_spread{1000};
 };
 
 enum class ReplicaRole { kFollower, kCandidate, kLeader };
 
-/// A change to propose, with the token of its submission.
+/// A change to propose. The submitter chose the token to match the verdict with
+/// the change.
 struct PendingChange {
-  std::uint64_t token = 0;  ///< 0: no verdict is returned.
+  std::uint64_t token = 0;  ///< 0: no verdict is wanted.
   wire::Change change;
 };
 
-/// The leader's record of a non-voting instance that holds the state.
+/// The leader's record of a standby: an instance that receives the committed
+/// state but does not vote.
 struct Standby {
   std::uint64_t incarnation = 0;
   std::uint64_t committed_seq = 0;
-  TimePoint heard_at;
+  TimePoint heard_at;  ///< When its last message was received.
 };
 
 struct Replica {
@@ -59,33 +69,41 @@
 
   // Durable state, restored from the control log.
   std::uint64_t incarnation = 0;
-  wire::Ballot promised_ballot;  ///< No lower ballot is followed.
+  /// Messages of a leader or candidate with a lower ballot are rejected.
+  wire::Ballot promised_ballot;
   wire::ControlState committed;
-  std::optional<wire::Entry> tip;  ///< The uncommitted entry, if any.
+  /// The entry after the last committed one, if this replica has stored it.
+  std::optional<wire::Entry> tip;
 
   // Volatile state.
   ReplicaRole role = ReplicaRole::kFollower;
-  wire::Ballot ballot;
+  wire::Ballot ballot;  ///< Of this replica's own latest election.
   std::uint64_t highest_round_seen = 0;
+  /// Votes granted to this candidate, by voter.
   std::map<std::uint32_t, wire::Promise> promises;
   std::set<std::uint32_t> accepted_by;  ///< Voters that stored the tip.
-  bool proposing = false;
-  std::uint64_t proposal_token = 0;
+  bool proposing = false;               ///< The tip is this leader's proposal.
+  std::uint64_t proposal_token = 0;     ///< Of the proposed change.
+  /// Changes to propose once the current proposal is committed.
   std::deque<PendingChange> queue;
   /// Send time of the latest heartbeat that each voter acknowledged.
   std::map<std::uint32_t, TimePoint> last_acked_send;
-  /// When the leader last received a message of each voter.
+  /// When the leader last received a message from each voter.
   std::map<std::uint32_t, TimePoint> voter_heard_at;
   std::map<std::uint32_t, Standby> standbys;  ///< Leader only.
   TimePoint elected_at;
+  /// Until then this replica grants no vote against the leader that it follows.
   TimePoint lease_granted_until;
-  TimePoint leader_heard_at;               ///< Last heartbeat of the leader.
-  std::uint64_t leader_committed_seq = 0;  ///< Highest one in a heartbeat.
+  TimePoint leader_heard_at;  ///< When the last heartbeat was received.
+  /// Highest committed sequence number in any heartbeat received.
+  std::uint64_t leader_committed_seq = 0;
+  /// When this replica started, last stepped down or last received a message
+  /// from a leader.
   TimePoint leaderless_since;
-  TimePoint election_at;
-  TimePoint heartbeat_at;
-  TimePoint join_at;
-  std::uint32_t leader = 0;
+  TimePoint election_at;     ///< Next election, unless a leader is followed.
+  TimePoint heartbeat_at;    ///< Next heartbeats. Leader only.
+  TimePoint join_at;         ///< Earliest next join requests.
+  std::uint32_t leader = 0;  ///< 0 if unknown.
 };
 
 struct ControlStarted {};
@@ -111,7 +129,7 @@
 struct ControlPersist {
   wire::DurableRecord record;
 };
-/// Tells that the committed state has changed.
+/// Reports to the caller that the committed state has changed.
 struct ControlAdvanced {};
 struct ControlVerdict {
   std::uint64_t token = 0;
@@ -129,23 +147,25 @@
 /// Applies one record of the control log. Records are applied in write order.
 void Restore(Replica& replica, const wire::DurableRecord& record);
 
-/// Returns one record that restores the complete durable state.
+/// Returns one record that contains the complete durable state.
 wire::DurableRecord FullRecord(const Replica& replica);
 
-/// Whether this replica is the leader and a majority of the voters has
-/// acknowledged it within the lease.
+/// Whether this replica is the leader and a majority of the voters, itself
+/// included, has acknowledged a heartbeat that it sent within the last
+/// `lease`, less a margin of a tenth for clock drift.
 bool HasLease(const Replica& replica, TimePoint now);
 
 bool IsVoter(const Replica& replica);
 
-/// Whether the committed state was confirmed as the newest one: at a leader by
-/// its lease, at other replicas by a leader's heartbeat within `limit` and
-/// without a newer entry known.
+/// Whether the committed state is known to be the newest one. A leader must
+/// hold its lease. Another replica must have received a heartbeat of a leader
+/// within `limit` and hold every entry that the heartbeats reported as
+/// committed.
 bool KnowsNewest(const Replica& replica, TimePoint now, Milliseconds limit);
 
 /// Returns the initial record of a founder of a new cluster. All founders get
-/// the same state if they pass the same list. Precondition: the replica has
-/// promised no ballot yet.
+/// the same state if they pass the same set. Precondition: the replica that
+/// the record is applied to has promised no ballot yet.
 wire::DurableRecord FoundingRecord(std::uint32_t instance,
                                    const std::set<std::uint32_t>& founders);
 
--- a/Source/Control/ReplicaElection.cc
+++ b/Source/Control/ReplicaElection.cc
@@ -3,12 +3,13 @@
 #include "Control/Ballot.h"
 #include "Control/ReplicaTurn.h"
 
-/// Leader elections: candidacy, promises and the start of leadership.
+/// Leader election: the prepare and promise messages and the start of
+/// leadership.
 namespace filbertwall {
 namespace {
 
-/// Returns the uncommitted entry of the highest ballot among the promises and
-/// this replica's tip, if any.
+/// Returns the uncommitted entry with the highest ballot among this replica's
+/// own and those in the promises, if any.
 std::optional<wire::Entry> HighestUndecidedEntry(const Replica& replica) {
   std::optional<wire::Entry> highest = replica.tip;
   for (const auto& [instance, promise] : replica.promises) {
@@ -25,43 +26,44 @@
   return highest;
 }
 
-void BecomeLeader(ReplicaTurn& turn) {
-  Replica& replica = turn.replica;
+void BecomeLeader(ReduceContext& context) {
+  Replica& replica = context.replica;
   replica.role = ReplicaRole::kLeader;
   replica.leader = replica.config.self;
-  replica.elected_at = turn.now;
+  replica.elected_at = context.now;
   replica.last_acked_send.clear();
   for (const wire::Member& member : replica.committed.members()) {
-    // Silence counts from the start of leadership, since a new leader has not
-    // received messages of all voters yet.
-    replica.voter_heard_at.try_emplace(member.instance(), turn.now);
+    // The silence of a voter is measured from the start of leadership at the
+    // earliest, since a new leader has not received messages of all voters yet.
+    replica.voter_heard_at.try_emplace(member.instance(), context.now);
   }
   const std::optional<wire::Entry> undecided = HighestUndecidedEntry(replica);
   replica.promises.clear();
-  SendHeartbeats(turn);
+  SendHeartbeats(context);
   if (undecided) {
     // A majority may have stored the entry already, so no other entry may take
     // its sequence number.
-    Propose(turn, PendingChange{.change = undecided->change()});
+    Propose(context, PendingChange{.change = undecided->change()});
     return;
   }
-  ProposeNext(turn);
+  ProposeNext(context);
 }
 
-void BecomeLeaderOnMajority(ReplicaTurn& turn) {
-  Replica& replica = turn.replica;
+void BecomeLeaderOnMajority(ReduceContext& context) {
+  Replica& replica = context.replica;
   std::set<std::uint32_t> granted = {replica.config.self};
   for (const auto& [instance, promise] : replica.promises) {
     granted.insert(instance);
   }
   if (IsMajority(replica.committed, granted)) {
-    BecomeLeader(turn);
+    BecomeLeader(context);
   }
 }
 
-/// Whether no lease of another leader or of this one forbids a promise. A
-/// prepare message during a lease gets no reply, unlike one with a ballot lower
-/// than the promised one.
+/// Whether this replica may grant a vote to `from`: neither a lease that it
+/// granted to another leader nor its own lease as the leader is in force. A
+/// prepare message during a lease gets no reply, whereas one with a ballot
+/// lower than the promised one gets a rejection.
 bool CanPromise(const Replica& replica, TimePoint now, std::uint32_t from) {
   const bool lease_of_another =
       now < replica.lease_granted_until && replica.leader != from;
@@ -72,21 +74,21 @@
 
 }  // namespace
 
-void StartElection(ReplicaTurn& turn) {
-  Replica& replica = turn.replica;
+void StartElection(ReduceContext& context) {
+  Replica& replica = context.replica;
   const bool ballot_still_highest =
       replica.role == ReplicaRole::kCandidate &&
       replica.ballot.round() >= replica.highest_round_seen &&
       CompareBallots(replica.ballot, replica.promised_ballot) == 0;
   if (!ballot_still_highest) {
-    // A candidate without any reply keeps its ballot, so that a long network
-    // partition does not keep raising the round.
+    // A candidate that received no higher ballot keeps its own, so that a long
+    // network partition does not increase the round again and again.
     replica.highest_round_seen =
         std::max(replica.highest_round_seen, replica.promised_ballot.round()) +
         1;
     replica.ballot.set_round(replica.highest_round_seen);
     replica.ballot.set_instance(replica.config.self);
-    PersistPromise(turn, replica.ballot);
+    PersistPromise(context, replica.ballot);
   }
   replica.role = ReplicaRole::kCandidate;
   replica.leader = 0;
@@ -94,27 +96,28 @@
   replica.promises.clear();
   const Milliseconds retry =
       replica.config.heartbeat_interval * (2 + replica.config.self % 5);
-  replica.election_at = turn.now + retry;
+  replica.election_at = context.now + retry;
   wire::ControlMessage message;
   wire::Prepare& prepare = *message.mutable_prepare();
   *prepare.mutable_ballot() = replica.ballot;
   prepare.set_committed_seq(replica.committed.seq());
-  SendToVoters(turn, message);
-  BecomeLeaderOnMajority(turn);
+  SendToVoters(context, message);
+  BecomeLeaderOnMajority(context);
 }
 
-void HandlePrepare(ReplicaTurn& turn, std::uint32_t from,
+void HandlePrepare(ReduceContext& context, std::uint32_t from,
                    const wire::Prepare& prepare, bool from_voter) {
-  Replica& replica = turn.replica;
+  Replica& replica = context.replica;
   const bool candidate_is_ahead =
       prepare.committed_seq() > replica.committed.seq();
   if (!IsVoter(replica) && candidate_is_ahead) {
-    // This replica may have become a voter, whose promise the candidate needs;
-    // the join request makes the candidate send the newer state.
-    SendJoin(turn, from);
+    // This replica may have become a voter without knowing it, and the
+    // candidate may need its promise. The join request makes the candidate send
+    // the newer state.
+    SendJoin(context, from);
   }
   if (!IsVoter(replica) || (!from_voter && !candidate_is_ahead) ||
-      !CanPromise(replica, turn.now, from)) {
+      !CanPromise(replica, context.now, from)) {
     return;
   }
   wire::ControlMessage message;
@@ -123,18 +126,18 @@
   const int order = CompareBallots(prepare.ballot(), replica.promised_ballot);
   if (order < 0) {
     *promise.mutable_promised() = replica.promised_ballot;
-    Send(turn, from, std::move(message));
+    Send(context, from, std::move(message));
     return;
   }
   if (order > 0) {
     if (replica.role != ReplicaRole::kFollower) {
-      StepDown(turn);
+      StepDown(context);
     }
-    PersistPromise(turn, prepare.ballot());
+    PersistPromise(context, prepare.ballot());
   }
   // Gives the candidate time to win before this replica starts an election.
   replica.election_at =
-      std::max(replica.election_at, turn.now + replica.config.lease / 2);
+      std::max(replica.election_at, context.now + replica.config.lease / 2);
   promise.set_granted(true);
   if (replica.tip) {
     *promise.mutable_tip() = *replica.tip;
@@ -142,12 +145,12 @@
   if (prepare.committed_seq() < replica.committed.seq()) {
     *promise.mutable_state() = replica.committed;
   }
-  Send(turn, from, std::move(message));
+  Send(context, from, std::move(message));
 }
 
-void HandlePromise(ReplicaTurn& turn, std::uint32_t from,
+void HandlePromise(ReduceContext& context, std::uint32_t from,
                    const wire::Promise& promise) {
-  Replica& replica = turn.replica;
+  Replica& replica = context.replica;
   replica.highest_round_seen =
       std::max(replica.highest_round_seen, promise.promised().round());
   const bool is_current = replica.role == ReplicaRole::kCandidate &&
@@ -159,18 +162,18 @@
     return;  // The next election uses a higher round.
   }
   if (promise.state().seq() > replica.committed.seq()) {
-    // The voters may have changed, which invalidates the promises so far.
-    InstallState(turn, promise.state());
+    // The voters may have changed, which invalidates the promises received.
+    InstallState(context, promise.state());
     if (IsVoter(replica)) {
       replica.highest_round_seen += 1;
-      StartElection(turn);
+      StartElection(context);
     } else {
-      StepDown(turn);
+      StepDown(context);
     }
     return;
   }
   replica.promises[from] = promise;
-  BecomeLeaderOnMajority(turn);
+  BecomeLeaderOnMajority(context);
 }
 
 }  // namespace filbertwall
--- a/Source/Control/ReplicaMembers.cc
+++ b/Source/Control/ReplicaMembers.cc
@@ -7,14 +7,14 @@
 namespace filbertwall {
 namespace {
 
-/// The leader drops a standby after this time without a message from it.
+/// The leader removes a standby after this time without a message from it.
 constexpr Milliseconds kStandbyTimeout{1000};
-/// After this time without a heartbeat of the leader, join requests go to all
-/// known instances.
+/// After this time without a heartbeat of the leader, join requests are sent to
+/// all configured control instances and voters.
 constexpr Milliseconds kLeaderTimeout{500};
 
-MembershipStatus MembershipStatusOf(const ReplicaTurn& turn) {
-  const Replica& replica = turn.replica;
+MembershipStatus MembershipStatusOf(const ReduceContext& context) {
+  const Replica& replica = context.replica;
   MembershipStatus membership{.reachable_standbys = replica.standbys.size(),
                               .least_voters = replica.config.least_voters};
   for (const wire::Member& member : replica.committed.members()) {
@@ -23,7 +23,7 @@
     membership.voters.push_back(
         VoterStatus{.instance = member.instance(),
                     .silence = known ? std::chrono::duration_cast<Milliseconds>(
-                                           turn.now - heard->second)
+                                           context.now - heard->second)
                                      : Milliseconds(0),
                     .is_leader = member.instance() == replica.config.self});
   }
@@ -36,37 +36,38 @@
   return membership;
 }
 
-void ProposeMemberChange(ReplicaTurn& turn, const wire::MemberChange& change) {
+void ProposeMemberChange(ReduceContext& context,
+                         const wire::MemberChange& change) {
   PendingChange pending;
   *pending.change.mutable_member() = change;
-  Propose(turn, pending);
+  Propose(context, pending);
 }
 
-void RecordStandby(ReplicaTurn& turn, const JoinRequest& request) {
-  turn.replica.standbys[request.instance] =
+void RecordStandby(ReduceContext& context, const JoinRequest& request) {
+  context.replica.standbys[request.instance] =
       Standby{.incarnation = request.incarnation,
               .committed_seq = request.committed_seq,
-              .heard_at = turn.now};
+              .heard_at = context.now};
 }
 
 }  // namespace
 
-void SendJoin(ReplicaTurn& turn, std::uint32_t to) {
+void SendJoin(ReduceContext& context, std::uint32_t to) {
   wire::ControlMessage message;
-  message.mutable_join()->set_committed_seq(turn.replica.committed.seq());
-  Send(turn, to, std::move(message));
+  message.mutable_join()->set_committed_seq(context.replica.committed.seq());
+  Send(context, to, std::move(message));
 }
 
-void RequestJoin(ReplicaTurn& turn) {
-  Replica& replica = turn.replica;
-  if (turn.now < replica.join_at) {
+void RequestJoin(ReduceContext& context) {
+  Replica& replica = context.replica;
+  if (context.now < replica.join_at) {
     return;
   }
-  replica.join_at = turn.now + replica.config.join_interval;
+  replica.join_at = context.now + replica.config.join_interval;
   const bool follows = replica.leader != 0 &&
-                       turn.now - replica.leader_heard_at <= kLeaderTimeout;
+                       context.now - replica.leader_heard_at <= kLeaderTimeout;
   if (follows) {
-    SendJoin(turn, replica.leader);
+    SendJoin(context, replica.leader);
     return;
   }
   std::set<std::uint32_t> recipients = replica.config.control_instances;
@@ -75,47 +76,48 @@
   }
   recipients.erase(replica.config.self);
   for (const std::uint32_t instance : recipients) {
-    SendJoin(turn, instance);
+    SendJoin(context, instance);
   }
 }
 
-void UpdateMembership(ReplicaTurn& turn) {
-  Replica& replica = turn.replica;
+void UpdateMembership(ReduceContext& context) {
+  Replica& replica = context.replica;
   std::erase_if(replica.standbys, [&](const auto& item) {
-    return turn.now - item.second.heard_at > kStandbyTimeout;
+    return context.now - item.second.heard_at > kStandbyTimeout;
   });
   if (!replica.config.open_membership || replica.proposing ||
-      !HasLease(replica, turn.now)) {
+      !HasLease(replica, context.now)) {
     return;
   }
-  if (const auto change = PlanVoterChange(MembershipStatusOf(turn))) {
-    ProposeMemberChange(turn, *change);
+  if (const auto change = PlanVoterChange(MembershipStatusOf(context))) {
+    ProposeMemberChange(context, *change);
   }
 }
 
-void HandleStandbyAck(ReplicaTurn& turn, std::uint32_t from,
+void HandleStandbyAck(ReduceContext& context, std::uint32_t from,
                       const wire::HeartbeatAck& ack) {
-  Replica& replica = turn.replica;
+  Replica& replica = context.replica;
   const auto standby = replica.standbys.find(from);
   if (replica.role != ReplicaRole::kLeader ||
       standby == replica.standbys.end()) {
     return;
   }
-  standby->second.heard_at = turn.now;
+  standby->second.heard_at = context.now;
   standby->second.committed_seq = ack.committed_seq();
   if (ack.committed_seq() < replica.committed.seq()) {
-    SendInstall(turn, from);
+    SendInstall(context, from);
   }
 }
 
-void HandleJoin(ReplicaTurn& turn, const JoinRequest& request) {
-  Replica& replica = turn.replica;
+void HandleJoin(ReduceContext& context, const JoinRequest& request) {
+  Replica& replica = context.replica;
   if (replica.role == ReplicaRole::kFollower || request.incarnation == 0) {
     return;
   }
   if (WasRemoved(replica.committed, request.instance, request.incarnation)) {
     if (replica.config.open_membership) {
-      SendInstall(turn, request.instance);  // Renews its incarnation.
+      // Makes the instance take a new incarnation.
+      SendInstall(context, request.instance);
     }
     return;
   }
@@ -130,24 +132,24 @@
   const bool caught_up =
       request.has_state && request.committed_seq >= replica.committed.seq();
   if (already_voter || !caught_up) {
-    // A candidate sends the state too, since a voter that does not know that it
-    // is a voter cannot promise anything.
-    SendInstall(turn, request.instance);
+    // A candidate sends the state as well, since an instance that does not know
+    // yet that it has become a voter grants no promise.
+    SendInstall(context, request.instance);
     return;
   }
   if (replica.role != ReplicaRole::kLeader) {
     return;
   }
   if (replica.config.open_membership) {
-    RecordStandby(turn, request);
-    UpdateMembership(turn);
+    RecordStandby(context, request);
+    UpdateMembership(context);
     return;
   }
-  if (!replica.proposing && HasLease(replica, turn.now)) {
+  if (!replica.proposing && HasLease(replica, context.now)) {
     wire::MemberChange change;
     change.set_instance(request.instance);
     change.set_incarnation(request.incarnation);
-    ProposeMemberChange(turn, change);
+    ProposeMemberChange(context, change);
   }
 }
 
--- a/Source/Control/ReplicaProposal.cc
+++ b/Source/Control/ReplicaProposal.cc
@@ -3,12 +3,13 @@
 #include "Control/Ballot.h"
 #include "Control/ReplicaTurn.h"
 
-/// Proposals: submission, storage by a majority of the voters and commit.
+/// Proposals: a submitted change is stored by a majority of the voters and then
+/// committed.
 namespace filbertwall {
 namespace {
 
-void CommitOnMajority(ReplicaTurn& turn) {
-  Replica& replica = turn.replica;
+void CommitOnMajority(ReduceContext& context) {
+  Replica& replica = context.replica;
   if (!replica.proposing ||
       !IsMajority(replica.committed, replica.accepted_by)) {
     return;
@@ -19,90 +20,90 @@
   const std::uint64_t token = replica.proposal_token;
   replica.proposing = false;
   replica.proposal_token = 0;
-  CommitTip(turn);
+  CommitTip(context);
   if (token != 0) {
-    turn.effects.emplace_back(ControlVerdict{
+    context.effects.emplace_back(ControlVerdict{
         .token = token,
         .verdict = wire::ACCEPTED,
         .reason = "stored by a majority of the control instances"});
   }
   if (!member_change) {
-    SendHeartbeats(turn);
-    ProposeNext(turn);
+    SendHeartbeats(context);
+    ProposeNext(context);
     return;
   }
   // Every voter must know the new set of voters before it gets a prepare
   // message.
   replica.standbys.erase(changed);
   replica.voter_heard_at.erase(changed);
-  SendHeartbeats(turn);
-  SendInstall(turn, changed);
+  SendHeartbeats(context);
+  SendInstall(context, changed);
   if (replaced != 0) {
-    SendInstall(turn, replaced);
+    SendInstall(context, replaced);
   }
   if (IsVoter(replica)) {
-    StartElection(turn);
+    StartElection(context);
   } else {
-    StepDown(turn);
+    StepDown(context);
   }
 }
 
-void SendAccept(ReplicaTurn& turn, std::uint32_t to) {
+void SendAccept(ReduceContext& context, std::uint32_t to) {
   wire::ControlMessage message;
-  *message.mutable_accept()->mutable_ballot() = turn.replica.ballot;
-  *message.mutable_accept()->mutable_entry() = *turn.replica.tip;
-  Send(turn, to, std::move(message));
+  *message.mutable_accept()->mutable_ballot() = context.replica.ballot;
+  *message.mutable_accept()->mutable_entry() = *context.replica.tip;
+  Send(context, to, std::move(message));
 }
 
-/// Promises `ballot` and follows its leader. Returns false if a higher ballot
-/// is promised already.
-bool FollowBallot(ReplicaTurn& turn, std::uint32_t from,
+/// Promises `ballot` and follows `from` as its leader. Returns false if this
+/// replica has already promised a higher ballot.
+bool FollowBallot(ReduceContext& context, std::uint32_t from,
                   const wire::Ballot& ballot) {
-  Replica& replica = turn.replica;
+  Replica& replica = context.replica;
   const int order = CompareBallots(ballot, replica.promised_ballot);
   if (order < 0) {
     return false;
   }
   if (order > 0) {
-    PersistPromise(turn, ballot);
+    PersistPromise(context, ballot);
   }
   replica.highest_round_seen =
       std::max(replica.highest_round_seen, ballot.round());
-  FollowLeader(turn, from);
+  FollowLeader(context, from);
   return true;
 }
 
-void SendAccepted(ReplicaTurn& turn, std::uint32_t to,
+void SendAccepted(ReduceContext& context, std::uint32_t to,
                   const wire::Accept& accept, bool stored) {
   wire::ControlMessage message;
   wire::Accepted& accepted = *message.mutable_accepted();
   *accepted.mutable_ballot() =
-      stored ? accept.ballot() : turn.replica.promised_ballot;
+      stored ? accept.ballot() : context.replica.promised_ballot;
   accepted.set_seq(accept.entry().seq());
   accepted.set_stored(stored);
-  accepted.set_committed_seq(turn.replica.committed.seq());
-  Send(turn, to, std::move(message));
+  accepted.set_committed_seq(context.replica.committed.seq());
+  Send(context, to, std::move(message));
 }
 
-/// Starts an election above `ballot` if it is higher than this leader's, since
-/// the voter that promised it cannot follow this leader. Returns whether it
-/// did.
-bool RestartElectionAbove(ReplicaTurn& turn, const wire::Ballot& ballot) {
-  Replica& replica = turn.replica;
+/// Starts an election with a round above that of `ballot` if `ballot` is higher
+/// than this leader's, since the voter that promised it rejects this leader.
+/// Returns whether it started one.
+bool RestartElectionAbove(ReduceContext& context, const wire::Ballot& ballot) {
+  Replica& replica = context.replica;
   if (CompareBallots(ballot, replica.ballot) <= 0) {
     return false;
   }
   replica.highest_round_seen =
       std::max(replica.highest_round_seen, ballot.round());
-  StepDown(turn);
-  StartElection(turn);
+  StepDown(context);
+  StartElection(context);
   return true;
 }
 
 }  // namespace
 
-void Propose(ReplicaTurn& turn, const PendingChange& pending) {
-  Replica& replica = turn.replica;
+void Propose(ReduceContext& context, const PendingChange& pending) {
+  Replica& replica = context.replica;
   wire::Entry entry;
   entry.set_seq(replica.committed.seq() + 1);
   *entry.mutable_ballot() = replica.ballot;
@@ -112,31 +113,31 @@
   if (pending.token != 0) {
     replica.proposal_token = pending.token;
   }
-  PersistTip(turn);
+  PersistTip(context);
   replica.accepted_by = {replica.config.self};
   for (const wire::Member& member : replica.committed.members()) {
     if (member.instance() != replica.config.self) {
-      SendAccept(turn, member.instance());
+      SendAccept(context, member.instance());
     }
   }
-  CommitOnMajority(turn);
+  CommitOnMajority(context);
 }
 
-void ProposeNext(ReplicaTurn& turn) {
-  Replica& replica = turn.replica;
+void ProposeNext(ReduceContext& context) {
+  Replica& replica = context.replica;
   while (replica.role == ReplicaRole::kLeader && !replica.proposing &&
          !replica.queue.empty()) {
     const PendingChange pending = replica.queue.front();
     replica.queue.pop_front();
-    HandleSubmitted(turn, ControlSubmitted{.token = pending.token,
-                                           .change = pending.change});
+    HandleSubmitted(context, ControlSubmitted{.token = pending.token,
+                                              .change = pending.change});
   }
 }
 
-void HandleSubmitted(ReplicaTurn& turn, const ControlSubmitted& event) {
-  Replica& replica = turn.replica;
+void HandleSubmitted(ReduceContext& context, const ControlSubmitted& event) {
+  Replica& replica = context.replica;
   const auto answer = [&](wire::Verdict verdict, const std::string& reason) {
-    turn.effects.emplace_back(ControlVerdict{
+    context.effects.emplace_back(ControlVerdict{
         .token = event.token, .verdict = verdict, .reason = reason});
   };
   if (event.change.has_rules()) {
@@ -157,27 +158,27 @@
   }
   if (replica.role != ReplicaRole::kLeader) {
     answer(wire::UNKNOWN,
-           "this instance is not the leader and does not reach one");
+           "this instance is not the leader and cannot reach one");
     return;
   }
   const PendingChange pending{.token = event.token, .change = event.change};
   if (replica.proposing) {
     constexpr std::size_t kMaxQueuedChanges = 64;
     if (replica.queue.size() >= kMaxQueuedChanges) {
-      answer(wire::UNKNOWN, "too many changes wait for their turn");
+      answer(wire::UNKNOWN, "the queue of changes is full");
       return;
     }
     replica.queue.push_back(pending);
     return;
   }
-  Propose(turn, pending);
+  Propose(context, pending);
 }
 
-void HandleAccept(ReplicaTurn& turn, std::uint32_t from,
+void HandleAccept(ReduceContext& context, std::uint32_t from,
                   const wire::Accept& accept) {
-  Replica& replica = turn.replica;
-  if (!IsVoter(replica) || !FollowBallot(turn, from, accept.ballot())) {
-    SendAccepted(turn, from, accept, false);
+  Replica& replica = context.replica;
+  if (!IsVoter(replica) || !FollowBallot(context, from, accept.ballot())) {
+    SendAccepted(context, from, accept, false);
     return;
   }
   const std::uint64_t seq = accept.entry().seq();
@@ -185,24 +186,24 @@
       replica.tip && replica.tip->seq() + 1 == seq &&
       CompareBallots(replica.tip->ballot(), accept.ballot()) == 0;
   if (follows_tip) {
-    // The leader proposes one entry at a time, so the next one shows that the
-    // tip is committed.
-    CommitTip(turn);
+    // The leader proposes one entry at a time, so an entry that follows the tip
+    // under the same ballot implies that the tip is committed.
+    CommitTip(context);
   }
   if (seq == replica.committed.seq() + 1) {
     replica.tip = accept.entry();
-    PersistTip(turn);
-    SendAccepted(turn, from, accept, true);
+    PersistTip(context);
+    SendAccepted(context, from, accept, true);
     return;
   }
-  SendAccepted(turn, from, accept, seq <= replica.committed.seq());
+  SendAccepted(context, from, accept, seq <= replica.committed.seq());
 }
 
-void HandleAccepted(ReplicaTurn& turn, std::uint32_t from,
+void HandleAccepted(ReduceContext& context, std::uint32_t from,
                     const wire::Accepted& accepted) {
-  Replica& replica = turn.replica;
+  Replica& replica = context.replica;
   if (replica.role != ReplicaRole::kLeader ||
-      RestartElectionAbove(turn, accepted.ballot())) {
+      RestartElectionAbove(context, accepted.ballot())) {
     return;
   }
   const bool is_current =
@@ -213,76 +214,77 @@
   if (accepted.stored()) {
     if (CompareBallots(accepted.ballot(), replica.ballot) == 0) {
       replica.accepted_by.insert(from);
-      CommitOnMajority(turn);
+      CommitOnMajority(context);
     }
     return;
   }
   if (accepted.committed_seq() < replica.committed.seq()) {
-    SendInstall(turn, from);
-    SendAccept(turn, from);
+    SendInstall(context, from);
+    SendAccept(context, from);
   }
 }
 
-void HandleHeartbeat(ReplicaTurn& turn, std::uint32_t from,
+void HandleHeartbeat(ReduceContext& context, std::uint32_t from,
                      const wire::Heartbeat& heartbeat) {
-  Replica& replica = turn.replica;
+  Replica& replica = context.replica;
   wire::ControlMessage message;
   wire::HeartbeatAck& ack = *message.mutable_heartbeat_ack();
-  if (!FollowBallot(turn, from, heartbeat.ballot())) {
+  if (!FollowBallot(context, from, heartbeat.ballot())) {
     *ack.mutable_ballot() = replica.promised_ballot;
-    Send(turn, from, std::move(message));
+    Send(context, from, std::move(message));
     return;
   }
   const bool tip_committed =
       replica.tip && replica.tip->seq() == heartbeat.committed_seq() &&
       CompareBallots(replica.tip->ballot(), heartbeat.ballot()) == 0;
   if (tip_committed) {
-    CommitTip(turn);
+    CommitTip(context);
   }
-  replica.leader_heard_at = turn.now;
+  replica.leader_heard_at = context.now;
   replica.leader_committed_seq =
       std::max(replica.leader_committed_seq, heartbeat.committed_seq());
   *ack.mutable_ballot() = heartbeat.ballot();
   ack.set_committed_seq(replica.committed.seq());
   ack.set_echoed_us(heartbeat.sent_us());
-  Send(turn, from, std::move(message));
+  Send(context, from, std::move(message));
 }
 
-void HandleHeartbeatAck(ReplicaTurn& turn, std::uint32_t from,
+void HandleHeartbeatAck(ReduceContext& context, std::uint32_t from,
                         const wire::HeartbeatAck& ack) {
-  Replica& replica = turn.replica;
+  Replica& replica = context.replica;
   if (replica.role != ReplicaRole::kLeader ||
-      RestartElectionAbove(turn, ack.ballot()) ||
+      RestartElectionAbove(context, ack.ballot()) ||
       CompareBallots(ack.ballot(), replica.ballot) != 0) {
     return;
   }
   const TimePoint sent{Microseconds(ack.echoed_us())};
   TimePoint& latest = replica.last_acked_send[from];
-  latest = std::max(latest, std::min(sent, turn.now));
+  latest = std::max(latest, std::min(sent, context.now));
   if (ack.committed_seq() < replica.committed.seq()) {
-    SendInstall(turn, from);
+    SendInstall(context, from);
   }
   const bool accept_missing =
       replica.proposing && !replica.accepted_by.contains(from);
   if (accept_missing) {
-    SendAccept(turn, from);
+    SendAccept(context, from);
   }
 }
 
-void HandleInstall(ReplicaTurn& turn, std::uint32_t from,
+void HandleInstall(ReduceContext& context, std::uint32_t from,
                    const wire::Install& install) {
-  Replica& replica = turn.replica;
-  // A removed replica may have promised ballots that the others do not know. It
-  // still installs the state, since committed entries hold under every ballot.
+  Replica& replica = context.replica;
+  // A removed replica may have promised a higher ballot that no voter knows. It
+  // installs the state nevertheless, since committed entries are valid under
+  // every ballot.
   const bool removed =
       replica.config.open_membership &&
       WasRemoved(install.state(), replica.config.self, replica.incarnation);
-  if (!FollowBallot(turn, from, install.ballot()) && !removed) {
+  if (!FollowBallot(context, from, install.ballot()) && !removed) {
     return;
   }
   if (install.state().seq() > replica.committed.seq() ||
       replica.committed.cluster() == 0) {
-    InstallState(turn, install.state());
+    InstallState(context, install.state());
   }
 }
 
--- a/Source/Control/ReplicaTurn.h
+++ b/Source/Control/ReplicaTurn.h
@@ -4,11 +4,11 @@
 
 #include "Control/Replica.h"
 
-/// Internal to Control: the reducer's context and its steps.
+/// Internal to Control: the steps of `Reduce` and the context that they share.
 namespace filbertwall {
 
 /// Context of one call of `Reduce`.
-struct ReplicaTurn {
+struct ReduceContext {
   Replica& replica;
   TimePoint now;
   std::vector<ControlEffect>& effects;
@@ -18,63 +18,68 @@
 struct JoinRequest {
   std::uint32_t instance = 0;
   std::uint64_t incarnation = 0;
-  bool has_state = false;  ///< False if its disk is empty.
+  bool has_state = false;  ///< False if it has no committed state yet.
   std::uint64_t committed_seq = 0;
 };
 
-void Send(ReplicaTurn& turn, std::uint32_t to, wire::ControlMessage message);
+void Send(ReduceContext& context, std::uint32_t to,
+          wire::ControlMessage message);
 /// Sends a message to every other voter.
-void SendToVoters(ReplicaTurn& turn, const wire::ControlMessage& message);
-/// Sends the complete committed state.
-void SendInstall(ReplicaTurn& turn, std::uint32_t to);
-void SendHeartbeats(ReplicaTurn& turn);
+void SendToVoters(ReduceContext& context, const wire::ControlMessage& message);
+/// Sends the complete committed state, which replaces that of the recipient.
+void SendInstall(ReduceContext& context, std::uint32_t to);
+void SendHeartbeats(ReduceContext& context);
 
-void PersistPromise(ReplicaTurn& turn, const wire::Ballot& ballot);
-void PersistTip(ReplicaTurn& turn);
+/// Sets the promised ballot and writes it to the log.
+void PersistPromise(ReduceContext& context, const wire::Ballot& ballot);
+/// Writes the uncommitted entry to the log.
+void PersistTip(ReduceContext& context);
 
-/// Becomes a follower without a leader. Changes that wait get the verdict
-/// "unknown".
-void StepDown(ReplicaTurn& turn);
-void StartElection(ReplicaTurn& turn);
+/// Becomes a follower without a leader. The proposed change and the queued ones
+/// get the verdict "unknown".
+void StepDown(ReduceContext& context);
+void StartElection(ReduceContext& context);
 
 /// Becomes a follower of `leader` and renews the lease granted to it.
-void FollowLeader(ReplicaTurn& turn, std::uint32_t leader);
+void FollowLeader(ReduceContext& context, std::uint32_t leader);
 
-/// Applies the tip to the committed state. Precondition: there is a tip.
-void CommitTip(ReplicaTurn& turn);
-/// Replaces the committed state. A replica that the state names as removed
-/// takes a new incarnation.
-void InstallState(ReplicaTurn& turn, const wire::ControlState& state);
+/// Applies the uncommitted entry to the committed state. Precondition:
+/// `replica.tip` is set.
+void CommitTip(ReduceContext& context);
+/// Replaces the committed state. With open membership, a replica that `state`
+/// lists as removed takes a new incarnation, so that it may join again.
+void InstallState(ReduceContext& context, const wire::ControlState& state);
 
-void HandlePrepare(ReplicaTurn& turn, std::uint32_t from,
+void HandlePrepare(ReduceContext& context, std::uint32_t from,
                    const wire::Prepare& prepare, bool from_voter);
-void HandlePromise(ReplicaTurn& turn, std::uint32_t from,
+void HandlePromise(ReduceContext& context, std::uint32_t from,
                    const wire::Promise& promise);
 
-void Propose(ReplicaTurn& turn, const PendingChange& pending);
-void ProposeNext(ReplicaTurn& turn);
-void HandleSubmitted(ReplicaTurn& turn, const ControlSubmitted& event);
-void HandleAccept(ReplicaTurn& turn, std::uint32_t from,
+void Propose(ReduceContext& context, const PendingChange& pending);
+void ProposeNext(ReduceContext& context);
+void HandleSubmitted(ReduceContext& context, const ControlSubmitted& event);
+void HandleAccept(ReduceContext& context, std::uint32_t from,
                   const wire::Accept& accept);
-void HandleAccepted(ReplicaTurn& turn, std::uint32_t from,
+void HandleAccepted(ReduceContext& context, std::uint32_t from,
                     const wire::Accepted& accepted);
-void HandleHeartbeat(ReplicaTurn& turn, std::uint32_t from,
+void HandleHeartbeat(ReduceContext& context, std::uint32_t from,
                      const wire::Heartbeat& heartbeat);
-void HandleHeartbeatAck(ReplicaTurn& turn, std::uint32_t from,
+void HandleHeartbeatAck(ReduceContext& context, std::uint32_t from,
                         const wire::HeartbeatAck& ack);
-void HandleInstall(ReplicaTurn& turn, std::uint32_t from,
+void HandleInstall(ReduceContext& context, std::uint32_t from,
                    const wire::Install& install);
-void HandleJoin(ReplicaTurn& turn, const JoinRequest& request);
+void HandleJoin(ReduceContext& context, const JoinRequest& request);
 
 /// Sends a join request to one instance.
-void SendJoin(ReplicaTurn& turn, std::uint32_t to);
-/// Sends join requests at the configured interval: to the leader if it is
-/// known, else to all known instances.
-void RequestJoin(ReplicaTurn& turn);
-/// Drops standbys that timed out and proposes the next change to the voters.
-/// Leader only.
-void UpdateMembership(ReplicaTurn& turn);
-void HandleStandbyAck(ReplicaTurn& turn, std::uint32_t from,
+void SendJoin(ReduceContext& context, std::uint32_t to);
+/// Sends join requests at the configured interval: to the leader if it has sent
+/// a heartbeat recently, else to all configured control instances and voters.
+void RequestJoin(ReduceContext& context);
+/// Removes standbys that timed out. With open membership, proposes the next
+/// change to the voters unless a proposal is in progress or the lease has
+/// expired. Leader only.
+void UpdateMembership(ReduceContext& context);
+void HandleStandbyAck(ReduceContext& context, std::uint32_t from,
                       const wire::HeartbeatAck& ack);
 
 }  // namespace filbertwall
--- a/Source/Control/VoterChange.cc
+++ b/Source/Control/VoterChange.cc
@@ -5,14 +5,15 @@
 namespace filbertwall {
 namespace {
 
-/// A standby replaces a voter that is silent for longer than this. A restart
-/// takes less time.
+/// A standby replaces a voter that has been silent for longer than this. A
+/// restart takes less time, so a restarting voter is not replaced.
 constexpr Milliseconds kReplaceAfter{3000};
-/// Without a standby, a silent voter above the minimum is removed after this
-/// time. The limit is longer, since the removal admits no other voter.
+/// If no standby can replace it and enough voters remain, a voter is removed
+/// after this time of silence. The limit is longer than `kReplaceAfter`, since
+/// a removal adds no other voter.
 constexpr Milliseconds kRemoveAfter{5000};
-/// More voters make each commit more expensive and help only against losses
-/// that are unlikely.
+/// More voters make each commit more expensive and protect only against numbers
+/// of losses that are unlikely.
 constexpr std::uint32_t kMaxVoters = 9;
 
 bool IsSilent(const VoterStatus& voter, Milliseconds limit) {
@@ -41,7 +42,8 @@
   return found == membership.voters.rend() ? nullptr : &*found;
 }
 
-/// Returns the largest odd number of responsive instances, within the bounds.
+/// Returns the largest odd number of voters that the responsive instances
+/// allow, between `least_voters` and `kMaxVoters`.
 std::uint32_t TargetVoterCount(const MembershipStatus& membership) {
   const auto responsive = static_cast<std::uint32_t>(
       membership.reachable_standbys +
@@ -70,8 +72,8 @@
   return change;
 }
 
-/// Returns a standby with the id of a voter, if any. Its instance has lost the
-/// disk with its promises and has a new incarnation.
+/// Returns a standby with the id of a voter, if any. The voter has lost its
+/// disk and with it its promises, so it joins again under a new incarnation.
 const StandbyStatus* StandbyWithVoterId(const MembershipStatus& membership) {
   for (const StandbyStatus& standby : membership.standbys) {
     const bool is_voter =
--- a/Source/Control/VoterChange.h
+++ b/Source/Control/VoterChange.h
@@ -10,9 +10,9 @@
 /// Selection of the control instances that vote.
 ///
 /// An odd number of the responsive instances are voters. The others are
-/// standbys, which hold the state and do not vote. A standby replaces a silent
-/// voter in one change, so that a loss reduces the fault tolerance only until
-/// the replacement. The function is pure and thread safe.
+/// standbys, which receive the state and do not vote. A standby replaces a
+/// silent voter in one change, which restores the fault tolerance that the loss
+/// of the voter reduced. The function is pure and thread safe.
 namespace filbertwall {
 
 /// The leader's view of a voter.
@@ -31,13 +31,14 @@
 /// The leader's view of the voters and standbys.
 struct MembershipStatus {
   std::vector<VoterStatus> voters;
-  std::vector<StandbyStatus> standbys;  ///< Up to date; may vote.
+  std::vector<StandbyStatus> standbys;  ///< Up to date.
   std::size_t reachable_standbys = 0;   ///< Including outdated ones.
-  std::uint32_t least_voters = 3;       ///< Lower bound.
+  std::uint32_t least_voters = 3;       ///< As in `ReplicaConfig`.
 };
 
-/// Returns the next change to the voters, if one is due. Each change leaves a
-/// set of voters that tolerates `least_voters / 2` losses.
+/// Returns the next change to the voters, if one is due. Once there are
+/// `least_voters` voters, a loss of `least_voters / 2` of them after any change
+/// still leaves a majority.
 std::optional<wire::MemberChange> PlanVoterChange(
     const MembershipStatus& membership);
 
--- a/Tests/Control/FleetReplicaTest.cc
+++ b/Tests/Control/FleetReplicaTest.cc
@@ -2,15 +2,17 @@
 
 #include <CppUTest/TestHarness.h>
 
+/// Tests replicas with open membership, in which instances without a founding
+/// record join and replace lost voters.
 using namespace filbertwall;
 
 namespace {
 
 constexpr std::uint32_t kFounders = 3;
 
-std::set<std::uint32_t> MembersOf(const ReplicaGroup& group) {
+std::set<std::uint32_t> VoterIds(const ReplicaGroup& group) {
   std::set<std::uint32_t> members;
-  const std::uint32_t leader = LeaderOf(group);
+  const std::uint32_t leader = FindLeader(group);
   for (const wire::Member& member :
        group.replicas.at(leader).committed.members()) {
     members.insert(member.instance());
@@ -18,8 +20,9 @@
   return members;
 }
 
-/// Runs one random history in which some rounds replace an instance
-/// permanently. Returns the first violation or an empty string.
+/// Runs one random sequence of steps. Some of its rounds replace an instance
+/// permanently, the others may lose a disk. Returns the first violation or an
+/// empty string.
 std::string RunRandomFleetHistory(std::uint64_t seed) {
   ReplicaGroup group = MakeFleet(seed, kFounders, 4);
   Settle(group);
@@ -39,7 +42,7 @@
     CheckVerdicts(group);
     CheckConverged(group);
     const std::uint64_t before = HighestVersion(group);
-    const std::uint32_t leader = LeaderOf(group);
+    const std::uint32_t leader = FindLeader(group);
     if (leader == 0) {
       RecordViolation(group, "no leader in round " + std::to_string(round));
       break;
@@ -69,13 +72,13 @@
     CHECK(IsVoter(replica));
     CHECK_EQUAL(cluster, replica.committed.cluster());
   }
-  LONGS_EQUAL(5, MembersOf(group).size());
+  LONGS_EQUAL(5, VoterIds(group).size());
 }
 
-TEST(FleetReplica, EmptyDisksAloneFoundNothing) {
+TEST(FleetReplica, EmptyDisksAloneFormNoCluster) {
   ReplicaGroup group = MakeFleet(1, 0, 3);
   Settle(group);
-  LONGS_EQUAL(0, LeaderOf(group));
+  LONGS_EQUAL(0, FindLeader(group));
   for (const auto& [id, replica] : group.replicas) {
     CHECK_EQUAL(0, replica.committed.cluster());
   }
@@ -84,11 +87,11 @@
 TEST(FleetReplica, NewInstanceReplacesALostVoter) {
   ReplicaGroup group = MakeFleet(2, kFounders, 5);
   Settle(group);
-  const std::uint32_t lost = LeaderOf(group) == 2 ? 3 : 2;
+  const std::uint32_t lost = FindLeader(group) == 2 ? 3 : 2;
   const std::uint32_t new_id = ReplaceInstance(group, lost);
   Settle(group);
   Settle(group);
-  CHECK(MembersOf(group) ==
+  CHECK(VoterIds(group) ==
         (std::set<std::uint32_t>{1, lost == 2 ? 3U : 2U, 4, 5, new_id}));
 }
 
@@ -96,14 +99,14 @@
   ReplicaGroup group = MakeFleet(3, kFounders, 4);
   Settle(group);
   for (std::uint32_t id = 1; id <= 4; ++id) {
-    Submit(group, LeaderOf(group), id, "a");
+    Submit(group, FindLeader(group), id, "a");
     ReplaceInstance(group, id);
     Settle(group);
     Settle(group);
   }
   CheckConverged(group);
   STRCMP_EQUAL("", group.violation.c_str());
-  const std::set<std::uint32_t> members = MembersOf(group);
+  const std::set<std::uint32_t> members = VoterIds(group);
   LONGS_EQUAL(3, members.size());
   for (const std::uint32_t member : members) {
     CHECK(member >= 5);
@@ -113,10 +116,10 @@
 TEST(FleetReplica, EvenGroupKeepsOneStandby) {
   ReplicaGroup group = MakeFleet(7, kFounders, 4);
   Settle(group);
-  LONGS_EQUAL(3, MembersOf(group).size());
+  LONGS_EQUAL(3, VoterIds(group).size());
   const Replica& standby = group.replicas.at(4);
   CHECK_FALSE(IsVoter(standby));
-  Submit(group, LeaderOf(group), 1, "a");
+  Submit(group, FindLeader(group), 1, "a");
   RunFor(group, Milliseconds(200));
   LONGS_EQUAL(1, standby.committed.rules().version());
   CHECK(KnowsNewest(standby, group.now, Milliseconds(400)));
@@ -127,46 +130,46 @@
     ReplicaGroup group = MakeFleet(size, kFounders, size);
     Settle(group);
     const std::uint64_t seq =
-        group.replicas.at(LeaderOf(group)).committed.seq();
+        group.replicas.at(FindLeader(group)).committed.seq();
     Settle(group);
-    LONGS_EQUAL(seq, group.replicas.at(LeaderOf(group)).committed.seq());
-    LONGS_EQUAL(size % 2 == 0 ? size - 1 : size, MembersOf(group).size());
+    LONGS_EQUAL(seq, group.replicas.at(FindLeader(group)).committed.seq());
+    LONGS_EQUAL(size % 2 == 0 ? size - 1 : size, VoterIds(group).size());
   }
 }
 
 TEST(FleetReplica, SilentVotersStayWhenTooFewWouldRemain) {
   ReplicaGroup group = MakeFleet(4, kFounders, kFounders);
   Settle(group);
-  const std::uint32_t lost = LeaderOf(group) == 2 ? 3 : 2;
+  const std::uint32_t lost = FindLeader(group) == 2 ? 3 : 2;
   group.replicas.erase(lost);
   for (int i = 0; i < 5; ++i) {
     Settle(group);
   }
-  LONGS_EQUAL(kFounders, MembersOf(group).size());
+  LONGS_EQUAL(kFounders, VoterIds(group).size());
 }
 
 TEST(FleetReplica, RemovedVoterReturnsAsAnotherIncarnation) {
   ReplicaGroup group = MakeFleet(5, kFounders, 5);
   Settle(group);
-  const std::uint32_t stopped = LeaderOf(group) == 2 ? 3 : 2;
+  const std::uint32_t stopped = FindLeader(group) == 2 ? 3 : 2;
   const std::uint64_t incarnation = group.replicas.at(stopped).incarnation;
   const Replica stopped_replica = group.replicas.at(stopped);
   group.replicas.erase(stopped);
   for (int i = 0; i < 4; ++i) {
     Settle(group);
   }
-  LONGS_EQUAL(kFounders, MembersOf(group).size());
+  LONGS_EQUAL(kFounders, VoterIds(group).size());
   group.replicas[stopped] = stopped_replica;
   Settle(group);
   Settle(group);
-  LONGS_EQUAL(5, MembersOf(group).size());
+  LONGS_EQUAL(5, VoterIds(group).size());
   CHECK(group.replicas.at(stopped).incarnation != incarnation);
 }
 
-TEST(FleetReplica, FollowerSpeaksForTheLeaderOnlyWhileItHearsIt) {
+TEST(FleetReplica, FollowerStateIsFreshOnlyWhileHeartbeatsArrive) {
   ReplicaGroup group = MakeFleet(6, kFounders, kFounders);
   Settle(group);
-  const std::uint32_t follower = LeaderOf(group) == 2 ? 3 : 2;
+  const std::uint32_t follower = FindLeader(group) == 2 ? 3 : 2;
   const Replica& replica = group.replicas.at(follower);
   constexpr Milliseconds kLimit{400};
   CHECK(KnowsNewest(replica, group.now, kLimit));
--- a/Tests/Control/ReplicaGroup.h
+++ b/Tests/Control/ReplicaGroup.h
@@ -9,7 +9,7 @@
 
 #include "Control/Replica.h"
 
-/// Simulated replicas with disks and a network, for tests with faults.
+/// Simulated replicas with disks and a network, for tests that inject faults.
 namespace filbertwall {
 
 struct Packet {
@@ -18,12 +18,12 @@
   wire::ControlMessage message;
 };
 
-/// Faults of the implementation that a test injects to check that the
-/// invariants detect them.
+/// Deliberate violations of the protocol. A test enables one to verify that the
+/// checks of the simulation detect it.
 struct Faults {
-  /// Promises are lost at each restart.
+  /// A restarted replica does not restore its promised ballot.
   bool forget_promises = false;
-  /// An instance that lost its disk keeps its incarnation and votes.
+  /// An instance that lost its disk keeps its incarnation and its vote.
   bool lost_disk_keeps_incarnation = false;
 };
 
@@ -35,8 +35,9 @@
   std::map<std::uint32_t, std::vector<wire::DurableRecord>> disks;
   std::vector<Packet> network;
   std::set<std::uint32_t> stopped_instances;
-  std::set<std::uint32_t> partitioned;  ///< Their packets are dropped.
-  /// Version -> digest, as first committed at any replica.
+  std::set<std::uint32_t>
+      partitioned;  ///< Packets from and to them are dropped.
+  /// Version -> digest, as first seen in the committed state of any replica.
   std::map<std::uint64_t, std::string> committed_digests;
   std::map<std::uint64_t, wire::RulesFile> submitted;  ///< token -> file.
   std::map<std::uint64_t, std::string> accepted;       ///< version -> digest.
@@ -44,9 +45,9 @@
   std::string violation;
   std::uint64_t next_token = 1;
   std::uint64_t next_incarnation = 100;
-  bool open_membership = false;  ///< As in `MakeFleet`.
+  bool open_membership = false;  ///< Set by `MakeFleet`.
   std::set<std::uint32_t> founders;
-  std::set<std::uint32_t> replaced;  ///< Lost permanently.
+  std::set<std::uint32_t> replaced;  ///< Removed permanently.
 };
 
 inline std::uint64_t RandomBelow(ReplicaGroup& group, std::uint64_t limit) {
@@ -66,8 +67,9 @@
   }
 }
 
-/// Checks that a committed version never has two digests at any replica.
-inline void CheckState(ReplicaGroup& group, const Replica& replica) {
+/// Checks that no version is committed with two different digests, at any
+/// replicas.
+inline void CheckDigests(ReplicaGroup& group, const Replica& replica) {
   for (const wire::VersionRecord& record : replica.committed.history()) {
     const auto [item, added] =
         group.committed_digests.emplace(record.version(), record.digest());
@@ -104,7 +106,7 @@
       RecordVerdict(group, *verdict);
     }
   }
-  CheckState(group, replica);
+  CheckDigests(group, replica);
 }
 
 inline void StartInstance(ReplicaGroup& group, std::uint32_t id) {
@@ -166,8 +168,9 @@
   return group;
 }
 
-/// Starts `size` instances in descending order of their ids. The first
-/// `founders` of them have the founding record; the others have empty disks.
+/// Starts `size` instances in descending order of their ids. Instances 1 to
+/// `founders` have the founding record on their disks; the others have empty
+/// disks.
 inline ReplicaGroup MakeFleet(std::uint64_t seed, std::uint32_t founders,
                               std::uint32_t size) {
   ReplicaGroup group{.random = std::mt19937_64(seed), .open_membership = true};
@@ -219,7 +222,8 @@
   }
 }
 
-/// Advances the clock by `time` and delivers all packets at once.
+/// Advances the clock by `time` in steps and delivers all packets after each
+/// step.
 inline void RunFor(ReplicaGroup& group, Milliseconds time) {
   constexpr Milliseconds kStep{20};
   for (Milliseconds passed{0}; passed < time; passed += kStep) {
@@ -266,8 +270,9 @@
   }
 }
 
-/// Takes one random step, which may lose a disk if `disks_to_lose` allows it. A
-/// caller allows one lost disk between two calls of `Settle`.
+/// Executes one random step. It may lose a disk if `disks_to_lose` is positive
+/// and then decrements it. Callers allow at most one lost disk between two
+/// calls of `Settle`.
 inline void Step(ReplicaGroup& group, int& disks_to_lose) {
   const std::uint64_t choice = RandomBelow(group, 1000);
   const auto id = RandomInstance(group);
@@ -314,13 +319,14 @@
   }
 }
 
-/// Checks that all replicas hold the newest version and that no accepted
-/// version was lost.
+/// Checks that all replicas have committed the newest version and that no
+/// accepted version was lost.
 inline void CheckConverged(ReplicaGroup& group) {
   const std::uint64_t highest = HighestVersion(group);
   for (const auto& [id, replica] : group.replicas) {
     if (replica.committed.rules().version() != highest) {
-      RecordViolation(group, "instance " + std::to_string(id) + " lags behind");
+      RecordViolation(group, "instance " + std::to_string(id) +
+                                 " has not committed the newest version");
     }
   }
   for (const auto& [version, digest] : group.accepted) {
@@ -331,7 +337,8 @@
   }
 }
 
-/// Runs one random history. Returns the first violation or an empty string.
+/// Runs one random sequence of steps. Returns the first violation or an empty
+/// string.
 inline std::string RunRandomHistory(std::uint64_t seed, std::uint32_t size,
                                     int steps, Faults faults = {}) {
   ReplicaGroup group = MakeGroup(seed, size, faults);
@@ -365,7 +372,8 @@
   return "";
 }
 
-inline std::uint32_t LeaderOf(const ReplicaGroup& group) {
+/// Returns the first instance that holds a lease, or 0.
+inline std::uint32_t FindLeader(const ReplicaGroup& group) {
   for (const auto& [id, replica] : group.replicas) {
     if (HasLease(replica, group.now)) {
       return id;
--- a/Tests/Control/ReplicaTest.cc
+++ b/Tests/Control/ReplicaTest.cc
@@ -2,6 +2,8 @@
 
 #include <CppUTest/TestHarness.h>
 
+/// Tests replicas with a fixed set of control instances, with random faults of
+/// the network, the processes and the disks.
 using namespace filbertwall;
 
 TEST_GROUP(Replica){};
@@ -26,7 +28,7 @@
 TEST(Replica, OneOfTwoEqualVersionsIsAccepted) {
   ReplicaGroup group = MakeGroup(1, 3);
   Settle(group);
-  const std::uint32_t leader = LeaderOf(group);
+  const std::uint32_t leader = FindLeader(group);
   Submit(group, leader, 1, "a");
   Submit(group, leader, 1, "b");
   Settle(group);
@@ -38,7 +40,7 @@
 TEST(Replica, ResentFileGetsItsFirstVerdictEverywhere) {
   ReplicaGroup group = MakeGroup(1, 3);
   Settle(group);
-  Submit(group, LeaderOf(group), 1, "a");
+  Submit(group, FindLeader(group), 1, "a");
   Settle(group);
   group.accepted.clear();
   for (const std::uint32_t id : {1U, 2U, 3U}) {
@@ -51,7 +53,7 @@
 TEST(Replica, LeaderThatSleptPastItsLeaseDoesNotClaimIt) {
   ReplicaGroup group = MakeGroup(1, 3);
   Settle(group);
-  const std::uint32_t leader = LeaderOf(group);
+  const std::uint32_t leader = FindLeader(group);
   Replica& replica = group.replicas.at(leader);
   group.now += replica.config.lease + Milliseconds(1);
   CHECK_FALSE(HasLease(replica, group.now));
@@ -64,7 +66,7 @@
 TEST(Replica, NoPromiseWithinALeaseGrantedBeforeARestart) {
   ReplicaGroup group = MakeGroup(1, 3);
   Settle(group);
-  const std::uint32_t leader = LeaderOf(group);
+  const std::uint32_t leader = FindLeader(group);
   const std::uint32_t voter = leader == 1 ? 2 : 1;
   StartInstance(group, voter);
   group.network.clear();
@@ -77,10 +79,10 @@
   CHECK(group.network.empty());
 }
 
-TEST(Replica, LostDiskIsReadmittedAndASecondLossLosesNothing) {
+TEST(Replica, LostDiskIsReadmittedAndASecondLossLosesNoData) {
   ReplicaGroup group = MakeGroup(3, 3);
   Settle(group);
-  Submit(group, LeaderOf(group), 1, "a");
+  Submit(group, FindLeader(group), 1, "a");
   Settle(group);
   LoseDisk(group, 2);
   Settle(group);
@@ -95,7 +97,7 @@
 TEST(Replica, RemovedVoterIsNotReadmitted) {
   ReplicaGroup group = MakeGroup(3, 3);
   Settle(group);
-  const std::uint32_t leader = LeaderOf(group);
+  const std::uint32_t leader = FindLeader(group);
   const std::uint32_t removed = leader == 3 ? 2 : 3;
   ControlSubmitted event{.token = 0};
   event.change.mutable_member()->set_instance(removed);
--- a/Tests/Control/VoterChangeTest.cc
+++ b/Tests/Control/VoterChangeTest.cc
@@ -10,8 +10,8 @@
 constexpr Milliseconds kSilent{3100};
 constexpr Milliseconds kLongSilent{5100};
 
-/// Returns a membership of the voters 1 to `count` with voter 1 as the leader.
-MembershipStatus VotersOf(std::uint32_t count) {
+/// Returns a membership with the voters 1 to `count`, led by voter 1.
+MembershipStatus MakeVoters(std::uint32_t count) {
   MembershipStatus membership;
   for (std::uint32_t instance = 1; instance <= count; ++instance) {
     membership.voters.push_back(
@@ -31,13 +31,13 @@
 TEST_GROUP(VoterChange){};
 
 TEST(VoterChange, OneStandbyIsNotAddedToAnOddNumber) {
-  MembershipStatus membership = VotersOf(3);
+  MembershipStatus membership = MakeVoters(3);
   AddStandby(membership, 4);
   CHECK_FALSE(PlanVoterChange(membership).has_value());
 }
 
 TEST(VoterChange, TwoStandbysAreAdmittedInTurn) {
-  MembershipStatus membership = VotersOf(3);
+  MembershipStatus membership = MakeVoters(3);
   AddStandby(membership, 4);
   AddStandby(membership, 5);
   const auto change = PlanVoterChange(membership);
@@ -48,13 +48,13 @@
 }
 
 TEST(VoterChange, FourthVoterStaysWhileTheFifthInstanceLags) {
-  MembershipStatus membership = VotersOf(4);
+  MembershipStatus membership = MakeVoters(4);
   membership.reachable_standbys = 1;
   CHECK_FALSE(PlanVoterChange(membership).has_value());
 }
 
 TEST(VoterChange, SilentVoterIsReplacedInOneChange) {
-  MembershipStatus membership = VotersOf(3);
+  MembershipStatus membership = MakeVoters(3);
   membership.voters[1].silence = kSilent;
   AddStandby(membership, 4);
   const auto change = PlanVoterChange(membership);
@@ -64,20 +64,20 @@
 }
 
 TEST(VoterChange, RestartingVoterIsNotReplaced) {
-  MembershipStatus membership = VotersOf(3);
+  MembershipStatus membership = MakeVoters(3);
   membership.voters[1].silence = Milliseconds(2000);
   AddStandby(membership, 4);
   CHECK_FALSE(PlanVoterChange(membership).has_value());
 }
 
 TEST(VoterChange, SilentVoterStaysWhenTooFewWouldRemain) {
-  MembershipStatus membership = VotersOf(3);
+  MembershipStatus membership = MakeVoters(3);
   membership.voters[1].silence = kLongSilent;
   CHECK_FALSE(PlanVoterChange(membership).has_value());
 }
 
 TEST(VoterChange, VotersShrinkToAnOddNumberOfResponsiveInstances) {
-  MembershipStatus membership = VotersOf(5);
+  MembershipStatus membership = MakeVoters(5);
   membership.voters[1].silence = kLongSilent;
   const auto first = PlanVoterChange(membership);
   CHECK(first.has_value());
@@ -91,7 +91,7 @@
 }
 
 TEST(VoterChange, LeaderNeverRemovesItself) {
-  MembershipStatus membership = VotersOf(4);
+  MembershipStatus membership = MakeVoters(4);
   membership.voters[0].silence = kLongSilent;
   const auto change = PlanVoterChange(membership);
   CHECK(change.has_value());
@@ -99,7 +99,7 @@
 }
 
 TEST(VoterChange, LostDiskIsReadmittedUnderItsNewIncarnation) {
-  MembershipStatus membership = VotersOf(3);
+  MembershipStatus membership = MakeVoters(3);
   membership.voters[1].silence = kNotSilent;
   AddStandby(membership, 2);
   const auto change = PlanVoterChange(membership);
--- a/Tests/Control/VoterLossTest.cc
+++ b/Tests/Control/VoterLossTest.cc
@@ -2,29 +2,30 @@
 
 #include <CppUTest/TestHarness.h>
 
-/// Runs series of losses, each of which a fleet tolerates at once: a planned
-/// replacement, an unplanned one, a lost disk and a network partition, in every
-/// order and at every instance. The tests guard against a loss that reduces the
-/// tolerance for the next one. After each loss, with all running instances
-/// connected, a leader must accept changes, and no accepted change may be lost.
+/// Runs series of losses in every order and at every instance: a planned
+/// replacement, an unplanned one, a lost disk and a network partition. The
+/// instances tolerate each of these losses alone. The tests guard against a
+/// loss after which the voters no longer tolerate the next one. After each
+/// loss, with all running instances connected, a leader must accept changes,
+/// and no accepted change may be lost.
 using namespace filbertwall;
 
 namespace {
 
 constexpr std::uint32_t kFounders = 3;
-/// Time between a loss and the next one.
-constexpr Milliseconds kGap{6000};
+/// Time before the first loss and after each one.
+constexpr Milliseconds kLossInterval{6000};
 /// Duration of a network partition.
 constexpr Milliseconds kPartitionTime{4000};
-/// Planned replacement: time for which both instances run. Unplanned: time
+/// Planned replacement: time during which both instances run. Unplanned: time
 /// between the loss and the start of the new instance.
-constexpr Milliseconds kOverlap{3000};
+constexpr Milliseconds kReplacementTime{3000};
 /// A leader must accept changes this long after the last loss.
 constexpr Milliseconds kRecoveryLimit{4000};
 
 enum class Loss { kPlannedReplacement, kReplacement, kDisk, kPartition };
 
-std::string NameOf(Loss loss) {
+std::string LossName(Loss loss) {
   switch (loss) {
     case Loss::kPlannedReplacement:
       return "planned replacement";
@@ -51,7 +52,7 @@
   group.replaced.insert(id);
 }
 
-/// Returns the running instance at `index` modulo their number.
+/// Returns the running instance at position `index`, modulo their number.
 std::uint32_t InstanceAtIndex(const ReplicaGroup& group, std::size_t index) {
   auto item = group.replicas.begin();
   std::advance(item,
@@ -63,12 +64,12 @@
   switch (loss) {
     case Loss::kPlannedReplacement:
       AddInstance(group);
-      RunFor(group, kOverlap);
+      RunFor(group, kReplacementTime);
       RemoveInstance(group, id);
       return;
     case Loss::kReplacement:
       RemoveInstance(group, id);
-      RunFor(group, kOverlap);
+      RunFor(group, kReplacementTime);
       AddInstance(group);
       return;
     case Loss::kDisk:
@@ -86,12 +87,13 @@
 /// if none is accepted within `kRecoveryLimit`.
 bool AcceptsChange(ReplicaGroup& group) {
   const std::uint64_t version = HighestVersion(group) + 1;
-  constexpr Milliseconds kPause{200};
-  for (Milliseconds waited{0}; waited < kRecoveryLimit; waited += kPause) {
-    if (const std::uint32_t leader = LeaderOf(group); leader != 0) {
+  constexpr Milliseconds kRetryInterval{200};
+  for (Milliseconds waited{0}; waited < kRecoveryLimit;
+       waited += kRetryInterval) {
+    if (const std::uint32_t leader = FindLeader(group); leader != 0) {
       Submit(group, leader, version, "v" + std::to_string(version));
     }
-    RunFor(group, kPause);
+    RunFor(group, kRetryInterval);
     if (group.accepted.contains(version)) {
       return true;
     }
@@ -103,23 +105,23 @@
 std::string RunSeries(std::uint32_t size, const std::vector<Loss>& losses,
                       const std::vector<std::size_t>& indexes) {
   ReplicaGroup group = MakeFleet(1, kFounders, size);
-  RunFor(group, kGap);
+  RunFor(group, kLossInterval);
   std::string series = std::to_string(size) + " instances";
   for (std::size_t i = 0; i < losses.size(); ++i) {
     const std::uint32_t id = InstanceAtIndex(group, indexes[i]);
-    series += ", " + NameOf(losses[i]) + " at " + std::to_string(id);
+    series += ", " + LossName(losses[i]) + " at " + std::to_string(id);
     InjectLoss(group, losses[i], id);
     if (!AcceptsChange(group)) {
       return series + ": no change is accepted";
     }
-    RunFor(group, kGap);
+    RunFor(group, kLossInterval);
   }
   CheckVerdicts(group);
   CheckConverged(group);
   return group.violation.empty() ? "" : series + ": " + group.violation;
 }
 
-/// Runs `losses` in their order at every combination of instances.
+/// Runs `losses` in the given order, at every combination of instances.
 std::string RunAtEveryInstance(std::uint32_t size,
                                const std::vector<Loss>& losses) {
   std::vector<std::size_t> indexes(losses.size(), 0);
@@ -153,7 +155,7 @@
 
 TEST_GROUP(VoterLoss){};
 
-TEST(VoterLoss, PlannedReplacementLeavesRoomForALostDisk) {
+TEST(VoterLoss, PlannedReplacementThenLostDiskIsTolerated) {
   for (std::uint32_t size = 3; size <= 5; ++size) {
     STRCMP_EQUAL("",
                  RunInEveryOrder(size, {Loss::kPlannedReplacement, Loss::kDisk})
