--- a/Source/Control/Replica.h
+++ b/Source/Control/Replica.h
@@ -34,7 +34,7 @@
   Milliseconds heartbeat_interval{100};  ///< Of the leader.
   /// A voter that follows a leader grants no vote to another instance for this
   /// long. The leader holds its lease while a majority of the voters has
-  /// acknowledged heartbeats that are recent enough.
+  /// acknowledged recent heartbeats; see `HasLease`.
   Milliseconds lease{1000};
   Milliseconds join_interval{300};  ///< Between join requests.
   /// After a start the replica grants no vote for this long, so that it can
@@ -43,7 +43,7 @@
   /// network partition still holds its lease.
   Milliseconds restart_wait{1000};
   /// Upper bound of the pseudo-random delay before an election, which makes
-  /// simultaneous elections of several replicas rare.
+  /// simultaneous elections of several replicas rare. Must be positive.
   Milliseconds election_spread{1000};
 };
 
@@ -72,7 +72,8 @@
   /// Messages of a leader or candidate with a lower ballot are rejected.
   wire::Ballot promised_ballot;
   wire::ControlState committed;
-  /// The entry after the last committed one, if this replica has stored it.
+  /// The entry after the last committed one, if this replica has stored it. It
+  /// is not yet known to be committed.
   std::optional<wire::Entry> tip;
 
   // Volatile state.
@@ -100,7 +101,7 @@
   /// When this replica started, last stepped down or last received a message
   /// from a leader.
   TimePoint leaderless_since;
-  TimePoint election_at;     ///< Next election, unless a leader is followed.
+  TimePoint election_at;     ///< Next election; leader messages delay it.
   TimePoint heartbeat_at;    ///< Next heartbeats. Leader only.
   TimePoint join_at;         ///< Earliest next join requests.
   std::uint32_t leader = 0;  ///< 0 if unknown.
--- a/Source/Control/ReplicaTurn.h
+++ b/Source/Control/ReplicaTurn.h
@@ -26,7 +26,7 @@
           wire::ControlMessage message);
 /// Sends a message to every other voter.
 void SendToVoters(ReduceContext& context, const wire::ControlMessage& message);
-/// Sends the complete committed state, which replaces that of the recipient.
+/// Sends the complete committed state, which replaces an older one at `to`.
 void SendInstall(ReduceContext& context, std::uint32_t to);
 void SendHeartbeats(ReduceContext& context);
 
--- a/Tests/Control/ReplicaGroup.h
+++ b/Tests/Control/ReplicaGroup.h
@@ -35,8 +35,8 @@
   std::map<std::uint32_t, std::vector<wire::DurableRecord>> disks;
   std::vector<Packet> network;
   std::set<std::uint32_t> stopped_instances;
-  std::set<std::uint32_t>
-      partitioned;  ///< Packets from and to them are dropped.
+  /// Packets from and to these instances are dropped.
+  std::set<std::uint32_t> partitioned;
   /// Version -> digest, as first seen in the committed state of any replica.
   std::map<std::uint64_t, std::string> committed_digests;
   std::map<std::uint64_t, wire::RulesFile> submitted;  ///< token -> file.
@@ -67,7 +67,7 @@
   }
 }
 
-/// Checks that no version is committed with two different digests, at any
+/// Checks that no version is committed with two different digests, on any
 /// replicas.
 inline void CheckDigests(ReplicaGroup& group, const Replica& replica) {
   for (const wire::VersionRecord& record : replica.committed.history()) {
