--- a/Source/Control/ReplicaMembers.cc
+++ b/Source/Control/ReplicaMembers.cc
@@ -13,7 +13,7 @@
 /// all configured control instances and voters.
 constexpr Milliseconds kLeaderTimeout{500};
 
-MembershipStatus MembershipStatusOf(const ReduceContext& context) {
+MembershipStatus BuildMembershipStatus(const ReduceContext& context) {
   const Replica& replica = context.replica;
   MembershipStatus membership{.reachable_standbys = replica.standbys.size(),
                               .least_voters = replica.config.least_voters};
@@ -89,7 +89,7 @@
       !HasLease(replica, context.now)) {
     return;
   }
-  if (const auto change = PlanVoterChange(MembershipStatusOf(context))) {
+  if (const auto change = PlanVoterChange(BuildMembershipStatus(context))) {
     ProposeMemberChange(context, *change);
   }
 }
--- a/Source/Control/ReplicaTurn.h
+++ b/Source/Control/ReplicaTurn.h
@@ -38,6 +38,8 @@
 /// Becomes a follower without a leader. The proposed change and the queued ones
 /// get the verdict "unknown".
 void StepDown(ReduceContext& context);
+/// Becomes a candidate and asks the other voters for promises. Precondition:
+/// this replica is a voter.
 void StartElection(ReduceContext& context);
 
 /// Becomes a follower of `leader` and renews the lease granted to it.
@@ -55,7 +57,10 @@
 void HandlePromise(ReduceContext& context, std::uint32_t from,
                    const wire::Promise& promise);
 
+/// Stores the change as the uncommitted entry and sends it to the other voters.
+/// Precondition: this replica is the leader and no proposal is in progress.
 void Propose(ReduceContext& context, const PendingChange& pending);
+/// Submits the queued changes until one of them is proposed. Leader only.
 void ProposeNext(ReduceContext& context);
 void HandleSubmitted(ReduceContext& context, const ControlSubmitted& event);
 void HandleAccept(ReduceContext& context, std::uint32_t from,
--- a/Source/Control/VoterChange.cc
+++ b/Source/Control/VoterChange.cc
@@ -21,8 +21,8 @@
 }
 
 /// Returns the voter with the longest silence above `limit`, if any.
-const VoterStatus* LongestSilent(const MembershipStatus& membership,
-                                 Milliseconds limit) {
+const VoterStatus* FindLongestSilent(const MembershipStatus& membership,
+                                     Milliseconds limit) {
   const VoterStatus* longest = nullptr;
   for (const VoterStatus& voter : membership.voters) {
     const bool silent = IsSilent(voter, limit);
@@ -35,7 +35,7 @@
 
 /// Returns the last voter that is not the leader, or null if the leader is the
 /// only voter.
-const VoterStatus* LastNonLeader(const MembershipStatus& membership) {
+const VoterStatus* FindLastNonLeader(const MembershipStatus& membership) {
   const auto found =
       std::find_if(membership.voters.rbegin(), membership.voters.rend(),
                    [](const VoterStatus& voter) { return !voter.is_leader; });
@@ -57,8 +57,8 @@
   return std::max(membership.least_voters, std::min(odd, kMaxVoters));
 }
 
-wire::MemberChange AdmissionChange(const StandbyStatus& standby,
-                                   std::uint32_t replaced) {
+wire::MemberChange BuildAdmission(const StandbyStatus& standby,
+                                  std::uint32_t replaced) {
   wire::MemberChange change;
   change.set_instance(standby.instance);
   change.set_incarnation(standby.incarnation);
@@ -66,7 +66,7 @@
   return change;
 }
 
-wire::MemberChange RemovalChange(const VoterStatus& voter) {
+wire::MemberChange BuildRemoval(const VoterStatus& voter) {
   wire::MemberChange change;
   change.set_instance(voter.instance);
   return change;
@@ -74,7 +74,8 @@
 
 /// Returns a standby with the id of a voter, if any. The voter has lost its
 /// disk and with it its promises, so it joins again under a new incarnation.
-const StandbyStatus* StandbyWithVoterId(const MembershipStatus& membership) {
+const StandbyStatus* FindStandbyWithVoterId(
+    const MembershipStatus& membership) {
   for (const StandbyStatus& standby : membership.standbys) {
     const bool is_voter =
         std::any_of(membership.voters.begin(), membership.voters.end(),
@@ -92,29 +93,30 @@
 
 std::optional<wire::MemberChange> PlanVoterChange(
     const MembershipStatus& membership) {
-  if (const StandbyStatus* readmitted = StandbyWithVoterId(membership)) {
-    return AdmissionChange(*readmitted, 0);
+  if (const StandbyStatus* readmitted = FindStandbyWithVoterId(membership)) {
+    return BuildAdmission(*readmitted, 0);
   }
   const std::size_t count = membership.voters.size();
   const std::uint32_t target = TargetVoterCount(membership);
   if (!membership.standbys.empty()) {
     const StandbyStatus& standby = membership.standbys.front();
-    if (const VoterStatus* silent = LongestSilent(membership, kReplaceAfter)) {
-      return AdmissionChange(standby, silent->instance);
+    if (const VoterStatus* silent =
+            FindLongestSilent(membership, kReplaceAfter)) {
+      return BuildAdmission(standby, silent->instance);
     }
     if (count < target) {
-      return AdmissionChange(standby, 0);
+      return BuildAdmission(standby, 0);
     }
   }
   if (count <= target) {
     return std::nullopt;
   }
-  if (const VoterStatus* silent = LongestSilent(membership, kRemoveAfter)) {
-    return RemovalChange(*silent);
+  if (const VoterStatus* silent = FindLongestSilent(membership, kRemoveAfter)) {
+    return BuildRemoval(*silent);
   }
-  const VoterStatus* surplus = LastNonLeader(membership);
+  const VoterStatus* surplus = FindLastNonLeader(membership);
   return surplus == nullptr ? std::nullopt
-                            : std::optional(RemovalChange(*surplus));
+                            : std::optional(BuildRemoval(*surplus));
 }
 
 }  // namespace filbertwall
