--- a/Source/Node/Node.cc
+++ b/Source/Node/Node.cc
@@ -9,8 +9,9 @@
 
 constexpr Milliseconds kHousekeepingInterval{1000};
 
-/// The others and the fabric get this long to learn that it stops.
-constexpr Milliseconds kLeastDrain{1500};
+/// Minimum duration of a graceful stop, unless the drain limit is shorter. The
+/// other instances and the fabric may need this long to detect the stop.
+constexpr Milliseconds kMinDrain{1500};
 
 void HandleStarted(NodeTurn& turn) {
   Node& node = turn.node;
@@ -37,14 +38,15 @@
   }
 }
 
-void EndStop(NodeTurn& turn) {
+void FinishStopIfDrained(NodeTurn& turn) {
   Node& node = turn.node;
-  const TimePoint least_end =
-      node.stop_at - node.settings.drain_limit + kLeastDrain;
-  // Until then callers may still be sent here, and are served.
-  node.requests.stopping = node.stopping && turn.now >= least_end;
+  const TimePoint earliest_end =
+      node.stop_deadline - node.settings.drain_limit + kMinDrain;
+  // Callers may still be routed here before `earliest_end`; they are served.
+  node.requests.stopping = node.stopping && turn.now >= earliest_end;
   const bool idle = node.requests.open.empty() && node.requests.stopping;
-  if (!node.stopped && node.stopping && (idle || turn.now >= node.stop_at)) {
+  if (!node.stopped && node.stopping &&
+      (idle || turn.now >= node.stop_deadline)) {
     node.stopped = true;
     RunFlows(turn, FlowHandover{});
     Log(turn, EventId::kStopped,
@@ -58,19 +60,19 @@
   if (node.has_replica) {
     RunReplica(turn, ControlTick{});
   }
-  WatchPeers(turn);
+  CheckPeerTimeouts(turn);
   SendHellos(turn);
   ConfirmRules(turn);
   PullRecords(turn);
-  StepSubmissions(turn);
+  RetrySubmissions(turn);
   RunRequests(turn, RequestTick{});
   RunFlows(turn, FlowTick{});
-  if (turn.now >= node.housekeeping_at) {
-    node.housekeeping_at = turn.now + kHousekeepingInterval;
+  if (turn.now >= node.next_housekeeping_at) {
+    node.next_housekeeping_at = turn.now + kHousekeepingInterval;
     ForgetSilent(node.directory, turn.now);
     ExpireOrders(node.orders, turn.now);
   }
-  EndStop(turn);
+  FinishStopIfDrained(turn);
 }
 
 void HandlePeerMessage(NodeTurn& turn, const wire::Envelope& envelope) {
@@ -132,10 +134,10 @@
     return;
   }
   node.stopping = true;
-  node.stop_at = turn.now + node.settings.drain_limit;
+  node.stop_deadline = turn.now + node.settings.drain_limit;
   Log(turn, EventId::kStopping,
       std::to_string(node.requests.open.size()) + " requests in flight");
-  node.hello_at = turn.now;
+  node.next_hello_at = turn.now;
   SendHellos(turn);
   RunFlows(turn, FlowHandover{});
 }
@@ -200,7 +202,7 @@
     TakeRules(this->turn, this->turn.node.replica.committed.rules());
   }
   void operator()(const ControlVerdict& effect) {
-    TakeVerdict(this->turn, effect.token, effect.verdict, effect.reason);
+    HandleVerdict(this->turn, effect.token, effect.verdict, effect.reason);
   }
 };
 
--- a/Source/Node/Node.h
+++ b/Source/Node/Node.h
@@ -19,41 +19,41 @@
 #include "Settings/Settings.h"
 #include "Wire/wire.pb.h"
 
-/// One instance: the reducer over all events, its effects as data.
+/// State machine of one instance: a reducer of events to effects.
 ///
-/// There is no clock, socket, disk or random source inside. Whoever drives a
-/// node hands it typed events with the time and carries out the effects in
-/// their order. Not thread safe.
+/// A node reads no clock, socket, disk or random source. Its driver passes it
+/// events together with the current time and executes the returned effects in
+/// order. Not thread safe.
 namespace filbertwall {
 
-/// Another instance, as its messages show it.
+/// What this instance knows of another one by its messages.
 struct Peer {
   PeerSettings settings;
-  wire::Hello hello;
+  wire::Hello hello;  ///< The last one received.
   TimePoint heard_at;
-  bool heard = false;
-  bool alive = false;
-  std::uint32_t hellos_in_row = 0;
-  std::uint32_t digest_mismatches = 0;
-  bool records_pulled = false;
+  bool heard = false;  ///< A hello was received since the start.
+  bool alive = false;  ///< Neither timed out nor stopping.
+  std::uint32_t consecutive_hellos = 0;
+  std::uint32_t digest_mismatches = 0;  ///< Consecutive, of the directory.
+  bool records_pulled = false;  ///< All its order records were received.
 };
 
-/// Whom a verdict is owed.
+/// The sender of a submission, which receives its verdict.
 struct Submitter {
-  std::string client;  ///< Of this process; empty for another instance.
-  std::uint32_t peer = 0;
-  std::uint64_t request = 0;
+  std::string client;         ///< Operator's connection; empty for a peer.
+  std::uint32_t peer = 0;     ///< Instance that forwarded the submission.
+  std::uint64_t request = 0;  ///< Identifier that the reply repeats.
 };
 
-/// A change that waits for its verdict. It is tried again until it expires,
-/// which is safe because a second try gets the first one's verdict.
+/// A change whose verdict is pending. It is retried until it expires. A retry
+/// is safe, because it gets the verdict of the first attempt.
 struct Submission {
   Submitter submitter;
   wire::Change change;
   TimePoint expires_at;
-  TimePoint next_try_at;
-  bool in_replica = false;
-  std::string last_reason;
+  TimePoint next_attempt_at;
+  bool pending_in_replica = false;  ///< Handed to the local replica.
+  std::string last_reason;          ///< Reported when the submission expires.
 };
 
 struct Node {
@@ -63,16 +63,16 @@
   Replica replica;
   wire::RulesFile rules_file;  ///< In force; version 0: none yet.
   Rules rules;
-  bool serving = false;
+  bool serving = false;   ///< The rules were confirmed since the start.
   bool stopping = false;  ///< A graceful stop has begun.
-  bool stopped = false;   ///< It has ended; the process may go.
+  bool stopped = false;   ///< It has ended; the process may exit.
   TimePoint started_at;
-  TimePoint stop_at;
-  TimePoint hello_at;
-  TimePoint watch_at;  ///< Next look for silent peers.
-  TimePoint housekeeping_at;
-  TimePoint rules_pull_at;
-  TimePoint pull_at;  ///< Next request for the records of orders.
+  TimePoint stop_deadline;  ///< Latest end of a graceful stop.
+  TimePoint next_hello_at;
+  TimePoint next_peer_check_at;  ///< Next check of the peers' timeouts.
+  TimePoint next_housekeeping_at;
+  TimePoint next_rules_pull_at;    ///< Earliest next request for newer rules.
+  TimePoint next_records_pull_at;  ///< Next request for order records.
   std::map<std::uint32_t, Peer> peers;
   std::set<std::uint32_t> silent;  ///< Peers that are not alive.
   Directory directory;
@@ -81,22 +81,24 @@
   FlowTier flows;
   std::map<std::uint64_t, Submission> submissions;  ///< By token.
   std::uint64_t next_token = 1;
-  std::uint32_t known_leader = 0;
+  std::uint32_t known_leader = 0;  ///< 0: none known.
   std::map<std::string, std::uint64_t> counters;
 };
 
 struct NodeStarted {};
 struct NodeTick {};
-/// A message of another instance, or of an operator when `client` is set.
+/// A message from an operator if `client` is set, else from another instance.
 struct MessageArrived {
   std::string client;
   wire::Envelope envelope;
 };
+/// A backend server's announcement over HTTP.
 struct AnnouncementArrived {
   std::uint64_t id = 0;
   std::string json;
 };
-/// The fabric asks whether packets and requests may be sent here.
+/// A health check: the fabric sends packets and requests here only if it
+/// succeeds.
 struct HealthAsked {
   std::uint64_t id = 0;
 };
@@ -117,24 +119,25 @@
 struct PersistControl {
   wire::DurableRecord record;
 };
-/// Keeps the rules in force for the next start of an instance with a disk.
+/// Stores the rules in force for the next start, if the instance has a disk.
 struct PersistRules {
   wire::RulesFile rules;
 };
-/// Answers a backend server's announcement or the fabric's health check.
+/// Sends the HTTP response to an announcement or a health check.
 struct AnswerLocal {
   std::uint64_t id = 0;
   int status = 200;
   std::string json;
 };
-/// The process may end: nothing is in flight, or the drain limit is over.
+/// The process may exit: no request is in flight, or the drain limit has
+/// passed.
 struct Stopped {};
 using NodeEffect =
     std::variant<SendToPeer, ReplyToOperator, PersistControl, PersistRules,
                  AnswerLocal, StartAttempt, CancelAttempt, AnswerCaller,
                  FlowEffects, LogRecord, Stopped>;
 
-/// What a node is made from, besides what its disk remembers.
+/// Initial state of a node: its settings and what it stored before a restart.
 struct NodeParts {
   Settings settings;
   std::uint64_t incarnation = 0;  ///< Differs at each start.
@@ -142,13 +145,15 @@
   std::optional<wire::RulesFile> saved_rules;
 };
 
+/// Restores a node from its settings and stored state.
 Node MakeNode(const NodeParts& parts);
 
-/// Applies one event. Precondition: `now` never goes back.
+/// Applies one event and returns its effects in the order of execution.
+/// Precondition: `now` is not earlier than in the previous call.
 std::vector<NodeEffect> Reduce(Node& node, const NodeEvent& event,
                                TimePoint now);
 
-/// The state for operators.
+/// Returns the state as the operators' `dump` command shows it.
 wire::NodeDump DumpNode(const Node& node, TimePoint now);
 
 }  // namespace filbertwall
--- a/Source/Node/NodeBackends.cc
+++ b/Source/Node/NodeBackends.cc
@@ -2,7 +2,8 @@
 
 #include "Node/NodeTurn.h"
 
-/// Announcements of backend servers, and their way to the other instances.
+/// Handles announcements of backend servers and forwards them to the other
+/// entry instances.
 namespace filbertwall {
 namespace {
 
@@ -11,7 +12,7 @@
   reply.set_verdict(verdict);
   reply.set_reason(reason);
   std::string json;
-  // A message of two strings can always be printed.
+  // Printing cannot fail for a message of two strings.
   google::protobuf::util::MessageToJsonString(reply, &json).ok();
   return json;
 }
@@ -23,7 +24,8 @@
       .id = id, .status = 400, .json = ReplyJson("refused", reason)});
 }
 
-void TakeRecord(NodeTurn& turn, const wire::BackendRecord& record) {
+/// Adds a valid and newer record to the directory.
+void ApplyRecord(NodeTurn& turn, const wire::BackendRecord& record) {
   Node& node = turn.node;
   const std::uint64_t before = node.directory.generation;
   if (!CheckAnnouncement(record.announcement()).empty() ||
@@ -54,7 +56,7 @@
     return;
   }
   record.set_data_centre(turn.node.settings.data_centre);
-  TakeRecord(turn, record);
+  ApplyRecord(turn, record);
   wire::Envelope envelope;
   *envelope.mutable_directory()->add_records() = record;
   SendToEntryPeers(turn, envelope);
@@ -64,7 +66,7 @@
 
 void HandleDirectory(NodeTurn& turn, const wire::Directory& message) {
   for (const wire::BackendRecord& record : message.records()) {
-    TakeRecord(turn, record);
+    ApplyRecord(turn, record);
   }
 }
 
--- a/Source/Node/NodeDump.cc
+++ b/Source/Node/NodeDump.cc
@@ -1,6 +1,6 @@
 #include "Node/Node.h"
 
-/// The state of a node as operators see it.
+/// Converts the state of a node to the message of the `dump` command.
 namespace filbertwall {
 namespace {
 
--- a/Source/Node/NodeOperator.cc
+++ b/Source/Node/NodeOperator.cc
@@ -2,11 +2,13 @@
 #include "Node/NodeTurn.h"
 #include "Rules/RulesParser.h"
 
-/// What operators ask: submissions, removal of a voter, status and dumps.
+/// Handles requests of operators: rules submissions, removal of a voter, status
+/// and dumps.
 namespace filbertwall {
 namespace {
 
-constexpr Milliseconds kSubmitLimit{5000};
+/// A submission without a verdict expires after this time.
+constexpr Milliseconds kSubmissionTimeout{5000};
 
 void Reply(NodeTurn& turn, const Submitter& submitter, wire::Verdict verdict,
            const std::string& reason) {
@@ -24,18 +26,20 @@
                                             .envelope = std::move(envelope)});
 }
 
-std::uint32_t LeaderKnownTo(const Node& node) {
+std::uint32_t GetKnownLeader(const Node& node) {
   if (node.has_replica && node.replica.leader != 0) {
     return node.replica.leader;
   }
   return node.known_leader;
 }
 
+/// Sends the submission to the leader. A submission that another instance has
+/// forwarded is not forwarded again.
 void ForwardToLeader(NodeTurn& turn, std::uint64_t token,
                      Submission& submission) {
-  const std::uint32_t leader = LeaderKnownTo(turn.node);
-  const bool forwarded_before = submission.submitter.client.empty();
-  if (leader == 0 || leader == turn.node.settings.id || forwarded_before) {
+  const std::uint32_t leader = GetKnownLeader(turn.node);
+  const bool from_peer = submission.submitter.client.empty();
+  if (leader == 0 || leader == turn.node.settings.id || from_peer) {
     submission.last_reason =
         "no leader with a majority is known here; nothing was recorded by "
         "this instance";
@@ -48,18 +52,20 @@
   SendPeer(turn, leader, std::move(envelope));
 }
 
+/// Submits to the local replica if this instance leads, else forwards to the
+/// leader.
 void TrySubmission(NodeTurn& turn, std::uint64_t token) {
-  constexpr Milliseconds kTryInterval{300};
+  constexpr Milliseconds kRetryInterval{300};
   Node& node = turn.node;
   Submission& submission = node.submissions.at(token);
-  submission.next_try_at = turn.now + kTryInterval;
-  const bool leads =
+  submission.next_attempt_at = turn.now + kRetryInterval;
+  const bool is_leader =
       node.has_replica && node.replica.role == ReplicaRole::kLeader;
-  if (!leads) {
+  if (!is_leader) {
     ForwardToLeader(turn, token, submission);
     return;
   }
-  submission.in_replica = true;
+  submission.pending_in_replica = true;
   RunReplica(turn,
              ControlSubmitted{.token = token, .change = submission.change});
 }
@@ -70,7 +76,7 @@
   turn.node.submissions[token] =
       Submission{.submitter = submitter,
                  .change = change,
-                 .expires_at = turn.now + kSubmitLimit,
+                 .expires_at = turn.now + kSubmissionTimeout,
                  .last_reason = "no majority answered in time"};
   TrySubmission(turn, token);
 }
@@ -83,7 +89,8 @@
   Reply(turn, submitter, verdict, reason);
 }
 
-/// Answers from committed history, which every control instance may do.
+/// Replies if the committed history already decides the file, and returns
+/// whether it did. Every control instance may do this, not only the leader.
 bool AnswerFromHistory(NodeTurn& turn, const Submitter& submitter,
                        const wire::RulesFile& file) {
   if (!turn.node.has_replica) {
@@ -155,7 +162,7 @@
 }
 
 void HandleSubmitReply(NodeTurn& turn, const wire::SubmitReply& reply) {
-  TakeVerdict(turn, reply.request(), reply.verdict(), reply.reason());
+  HandleVerdict(turn, reply.request(), reply.verdict(), reply.reason());
 }
 
 void HandleRemoveMember(NodeTurn& turn, const Submitter& submitter,
@@ -180,8 +187,8 @@
   StartSubmission(turn, submitter, change);
 }
 
-void TakeVerdict(NodeTurn& turn, std::uint64_t token, wire::Verdict verdict,
-                 const std::string& reason) {
+void HandleVerdict(NodeTurn& turn, std::uint64_t token, wire::Verdict verdict,
+                   const std::string& reason) {
   const auto found = turn.node.submissions.find(token);
   if (found == turn.node.submissions.end()) {
     return;
@@ -190,17 +197,18 @@
     EndSubmission(turn, token, verdict, reason);
     return;
   }
-  found->second.in_replica = false;
+  found->second.pending_in_replica = false;
   found->second.last_reason = reason;
 }
 
-void StepSubmissions(NodeTurn& turn) {
+void RetrySubmissions(NodeTurn& turn) {
   std::vector<std::uint64_t> due;
   std::vector<std::uint64_t> expired;
   for (const auto& [token, submission] : turn.node.submissions) {
     if (turn.now >= submission.expires_at) {
       expired.push_back(token);
-    } else if (turn.now >= submission.next_try_at && !submission.in_replica) {
+    } else if (turn.now >= submission.next_attempt_at &&
+               !submission.pending_in_replica) {
       due.push_back(token);
     }
   }
--- a/Source/Node/NodeOrders.cc
+++ b/Source/Node/NodeOrders.cc
@@ -1,16 +1,17 @@
 #include "Node/NodeTurn.h"
 
-/// This instance as a recorder of orders, and the repair of its memory.
+/// Records orders, and pulls the records of other recorders after a restart.
 namespace filbertwall {
 namespace {
 
-constexpr Milliseconds kPullPause{500};
+constexpr Milliseconds kRecordsPullInterval{500};
 
-/// Claims granted before a restart are dispatched or dead after this time.
-constexpr Milliseconds kClaimsSettled{2000};
+/// After this time each claim that was granted before a restart has either
+/// been dispatched or expired.
+constexpr Milliseconds kClaimSettleTime{2000};
 
-void AskForRecords(NodeTurn& turn, std::uint32_t from,
-                   const std::string& after) {
+void RequestRecords(NodeTurn& turn, std::uint32_t from,
+                    const std::string& after) {
   wire::Envelope envelope;
   envelope.mutable_records_pull()->set_after(after);
   SendPeer(turn, from, std::move(envelope));
@@ -31,14 +32,15 @@
 
 void PullRecords(NodeTurn& turn) {
   Node& node = turn.node;
-  const bool settled = turn.now - node.started_at >= kClaimsSettled;
-  if (node.orders.unsure_with.empty() || !settled || turn.now < node.pull_at) {
+  const bool settled = turn.now - node.started_at >= kClaimSettleTime;
+  if (node.orders.unsure_with.empty() || !settled ||
+      turn.now < node.next_records_pull_at) {
     return;
   }
-  node.pull_at = turn.now + kPullPause;
+  node.next_records_pull_at = turn.now + kRecordsPullInterval;
   for (const auto& [id, peer] : node.peers) {
     if (peer.settings.roles.entry && peer.heard && !peer.records_pulled) {
-      AskForRecords(turn, id, "");
+      RequestRecords(turn, id, "");
     }
   }
 }
@@ -57,7 +59,7 @@
   const bool unsure_before = !node.orders.unsure_with.empty();
   MergeRecords(node.orders, from, page, turn.now);
   if (!page.next().empty()) {
-    AskForRecords(turn, from, page.next());
+    RequestRecords(turn, from, page.next());
     return;
   }
   node.peers.at(from).records_pulled = true;
--- a/Source/Node/NodePeers.cc
+++ b/Source/Node/NodePeers.cc
@@ -1,12 +1,15 @@
 #include "Base/Hash.h"
 #include "Node/NodeTurn.h"
 
-/// Membership and repair by digests: what the instances tell each other.
+/// Detects failed peers by periodic hellos, and repairs differences in rules
+/// and directory that their versions and digests show.
 namespace filbertwall {
 namespace {
 
 constexpr Milliseconds kHelloInterval{400};
+/// Consecutive hellos until a silent peer counts as alive.
 constexpr std::uint32_t kHellosUntilAlive = 2;
+/// Consecutive hellos with another digest until the directory is sent.
 constexpr std::uint32_t kMismatchesUntilRepair = 2;
 
 wire::Hello MakeHello(const Node& node, TimePoint now) {
@@ -37,7 +40,8 @@
   SendPeer(turn, to, std::move(envelope));
 }
 
-void LearnLeader(NodeTurn& turn, std::uint32_t from, const wire::Hello& hello) {
+void UpdateKnownLeader(NodeTurn& turn, std::uint32_t from,
+                       const wire::Hello& hello) {
   Node& node = turn.node;
   if (hello.leader_with_lease()) {
     node.known_leader = from;
@@ -46,19 +50,22 @@
   }
 }
 
-/// Asks for newer rules at once instead of with the next periodic hello.
-void PullRules(NodeTurn& turn, std::uint32_t from, const wire::Hello& hello) {
-  constexpr Milliseconds kPullInterval{50};
+/// Sends a hello at once if the peer has newer rules, so that the peer pushes
+/// them before the next periodic hello.
+void RequestRules(NodeTurn& turn, std::uint32_t from,
+                  const wire::Hello& hello) {
+  constexpr Milliseconds kRulesPullInterval{50};
   Node& node = turn.node;
   const bool newer = hello.rules_version() > node.rules_file.version();
-  if (!newer || turn.now < node.rules_pull_at) {
+  if (!newer || turn.now < node.next_rules_pull_at) {
     return;
   }
-  node.rules_pull_at = turn.now + kPullInterval;
+  node.next_rules_pull_at = turn.now + kRulesPullInterval;
   SendHello(turn, from);
 }
 
-void RepairRules(NodeTurn& turn, std::uint32_t to, const wire::Hello& hello) {
+/// Sends the rules in force to a peer that has older ones.
+void PushRules(NodeTurn& turn, std::uint32_t to, const wire::Hello& hello) {
   const Node& node = turn.node;
   if (hello.rules_version() >= node.rules_file.version()) {
     return;
@@ -68,6 +75,7 @@
   SendPeer(turn, to, std::move(envelope));
 }
 
+/// Sends the directory to a peer whose digest differs repeatedly.
 void RepairDirectory(NodeTurn& turn, Peer& peer, const wire::Hello& hello) {
   if (hello.directory_digest() == turn.node.directory.digest) {
     peer.digest_mismatches = 0;
@@ -75,7 +83,7 @@
   }
   peer.digest_mismatches += 1;
   if (peer.digest_mismatches < kMismatchesUntilRepair) {
-    return;  // An update may still be under way.
+    return;  // An update may still be in transit.
   }
   peer.digest_mismatches = 0;
   wire::Envelope envelope;
@@ -84,11 +92,11 @@
   SendPeer(turn, peer.settings.id, std::move(envelope));
 }
 
-void NoteHello(NodeTurn& turn, Peer& peer, const wire::Hello& hello) {
+void RecordHello(NodeTurn& turn, Peer& peer, const wire::Hello& hello) {
   const bool restarted = peer.heard && peer.hello.incarnation() != 0 &&
                          hello.incarnation() != peer.hello.incarnation();
   if (restarted) {
-    peer.hellos_in_row = 0;
+    peer.consecutive_hellos = 0;
     peer.records_pulled = false;
     Log(turn, EventId::kPeerRestarted,
         "instance " + std::to_string(peer.settings.id));
@@ -96,9 +104,9 @@
   peer.hello = hello;
   peer.heard = true;
   peer.heard_at = turn.now;
-  peer.hellos_in_row += 1;
+  peer.consecutive_hellos += 1;
   const bool now_alive =
-      !hello.stopping() && peer.hellos_in_row >= kHellosUntilAlive;
+      !hello.stopping() && peer.consecutive_hellos >= kHellosUntilAlive;
   if (now_alive && !peer.alive) {
     peer.alive = true;
     turn.node.silent.erase(peer.settings.id);
@@ -115,7 +123,7 @@
 
 void SendHellos(NodeTurn& turn) {
   Node& node = turn.node;
-  if (turn.now < node.hello_at) {
+  if (turn.now < node.next_hello_at) {
     return;
   }
   if (node.has_replica && HasLease(node.replica, turn.now)) {
@@ -123,8 +131,9 @@
   } else if (node.known_leader == node.settings.id) {
     node.known_leader = 0;
   }
+  // The interval varies by up to 49 ms between instances and restarts.
   const std::uint64_t phase = MixHash(node.settings.id, node.incarnation);
-  node.hello_at = turn.now + kHelloInterval + Milliseconds(phase % 50);
+  node.next_hello_at = turn.now + kHelloInterval + Milliseconds(phase % 50);
   for (const auto& [id, peer] : node.peers) {
     SendHello(turn, id);
   }
@@ -132,27 +141,27 @@
 
 void HandleHello(NodeTurn& turn, std::uint32_t from, const wire::Hello& hello) {
   Peer& peer = turn.node.peers.at(from);
-  NoteHello(turn, peer, hello);
-  LearnLeader(turn, from, hello);
-  PullRules(turn, from, hello);
-  RepairRules(turn, from, hello);
+  RecordHello(turn, peer, hello);
+  UpdateKnownLeader(turn, from, hello);
+  RequestRules(turn, from, hello);
+  PushRules(turn, from, hello);
   if (peer.settings.roles.entry && turn.node.settings.roles.entry) {
     RepairDirectory(turn, peer, hello);
   }
 }
 
-void WatchPeers(NodeTurn& turn) {
-  constexpr Milliseconds kWatchInterval{100};
+void CheckPeerTimeouts(NodeTurn& turn) {
+  constexpr Milliseconds kPeerCheckInterval{100};
   Node& node = turn.node;
-  if (turn.now < node.watch_at) {
+  if (turn.now < node.next_peer_check_at) {
     return;
   }
-  node.watch_at = turn.now + kWatchInterval;
+  node.next_peer_check_at = turn.now + kPeerCheckInterval;
   for (auto& [id, peer] : node.peers) {
     if (turn.now - peer.heard_at <= kPeerTimeout) {
       continue;
     }
-    peer.hellos_in_row = 0;
+    peer.consecutive_hellos = 0;
     if (node.known_leader == id) {
       node.known_leader = 0;
     }
--- a/Source/Node/NodeRules.cc
+++ b/Source/Node/NodeRules.cc
@@ -1,17 +1,20 @@
 #include "Node/NodeTurn.h"
 #include "Rules/RulesParser.h"
 
-/// Rules in force at this instance: taken in rising order, never back.
+/// Rules in force at this instance. Their version only increases.
 namespace filbertwall {
 namespace {
 
-/// Whether what `peer` says was said after this process started.
+/// Whether the last hello of `peer` was sent after this process started: it
+/// repeats this incarnation.
 bool HeardSinceStart(const Node& node, const Peer& peer) {
   return peer.heard && peer.hello.heard_incarnation() == node.incarnation;
 }
 
-/// The version that rules here must have reached before they are served. Empty
-/// while it can't be known.
+/// Returns the lowest rules version that may be served: that of a leader with
+/// a lease, or the highest one in force or pending at the voters heard from,
+/// once these are a majority of the control instances. Returns nothing while
+/// neither is known.
 std::optional<std::uint64_t> RequiredVersion(const Node& node, TimePoint now) {
   if (node.has_replica && HasLease(node.replica, now)) {
     return node.replica.committed.rules().version();
@@ -42,14 +45,16 @@
   return std::nullopt;
 }
 
-/// Whether this instance has had the time to hear of all others. Before, it
-/// would take flows and orders of theirs for unknown ones.
-bool KnowsOthers(const Node& node, TimePoint now) {
+/// Whether all peers are alive or have had `kPeerTimeout` to send hellos. An
+/// instance that served earlier would treat flows and orders known to other
+/// instances as unknown.
+bool PeerStatusKnown(const Node& node, TimePoint now) {
   return node.silent.empty() || now - node.started_at >= kPeerTimeout;
 }
 
-/// Nothing can have been served before the first rules file was accepted.
-void EndAmnesiaOfNewDeployment(NodeTurn& turn, std::uint64_t required) {
+/// Lets this recorder vouch for all keys if no rules file was ever accepted:
+/// no order can have been served before.
+void ClearUnsureForNewDeployment(NodeTurn& turn, std::uint64_t required) {
   if (required == 0 && !turn.node.orders.unsure_with.empty()) {
     turn.node.orders.unsure_with.clear();
     Log(turn, EventId::kOrderMemoryRepaired, "no rules were ever in force");
@@ -71,7 +76,7 @@
   node.rules_file = file;
   node.rules = std::move(parsed.rules);
   node.directory.generation += 1;
-  node.hello_at = turn.now;  // Tells the others without delay.
+  node.next_hello_at = turn.now;  // Announces the new version at once.
   turn.effects.emplace_back(PersistRules{.rules = file});
   Log(turn, EventId::kRulesInForce,
       "version " + std::to_string(file.version()) + " from " +
@@ -87,10 +92,10 @@
   if (!required) {
     return;
   }
-  EndAmnesiaOfNewDeployment(turn, *required);
+  ClearUnsureForNewDeployment(turn, *required);
   const bool ready = node.rules_file.version() >= *required &&
                      node.rules_file.version() > 0 &&
-                     KnowsOthers(node, turn.now);
+                     PeerStatusKnown(node, turn.now);
   if (ready) {
     node.serving = true;
     Log(turn, EventId::kServing,
--- a/Source/Node/NodeTurn.h
+++ b/Source/Node/NodeTurn.h
@@ -5,12 +5,14 @@
 
 #include "Node/Node.h"
 
-/// Internal to Node: the steps that its reducers share.
+/// Internal to Node: the context of one reducer call and the event handlers
+/// that its source files share.
 namespace filbertwall {
 
-/// An instance that was not heard for this long is taken to be down.
+/// An instance is considered down after this time without a hello.
 inline constexpr Milliseconds kPeerTimeout{2000};
 
+/// Context of one reducer call.
 struct NodeTurn {
   Node& node;
   TimePoint now;
@@ -25,20 +27,25 @@
 void RunReplica(NodeTurn& turn, const ControlEvent& event);
 void RunRequests(NodeTurn& turn, const RequestEvent& event);
 
-/// Puts a rules file in force unless one as new is in force already.
+/// Puts a rules file in force if its version is higher than the current one.
 void TakeRules(NodeTurn& turn, const wire::RulesFile& file);
-/// Starts to serve once no newer rules can have been in force here before.
+/// Starts serving once the local rules are at least as new as any rules that
+/// this instance can have served before its restart.
 void ConfirmRules(NodeTurn& turn);
 
+/// Sends a hello to each peer when the next one is due.
 void SendHellos(NodeTurn& turn);
 void HandleHello(NodeTurn& turn, std::uint32_t from, const wire::Hello& hello);
-void WatchPeers(NodeTurn& turn);
+/// Marks peers that exceeded `kPeerTimeout` as silent.
+void CheckPeerTimeouts(NodeTurn& turn);
 
 void HandleAnnouncement(NodeTurn& turn, const AnnouncementArrived& event);
 void HandleDirectory(NodeTurn& turn, const wire::Directory& message);
 
 void HandleClaim(NodeTurn& turn, std::uint32_t from, const wire::Claim& claim);
 void HandleOutcome(NodeTurn& turn, const wire::Outcome& outcome);
+/// Requests the order records of peers until this recorder may vouch for
+/// all keys.
 void PullRecords(NodeTurn& turn);
 void HandleRecordsPull(NodeTurn& turn, std::uint32_t from,
                        const wire::RecordsPull& pull);
@@ -50,11 +57,12 @@
 void HandleSubmitReply(NodeTurn& turn, const wire::SubmitReply& reply);
 void HandleRemoveMember(NodeTurn& turn, const Submitter& submitter,
                         const wire::RemoveMember& remove);
-/// Passes a verdict on; "unknown" only once the submission has expired.
-void TakeVerdict(NodeTurn& turn, std::uint64_t token, wire::Verdict verdict,
-                 const std::string& reason);
-/// Tries pending submissions again, and gives up on those that expired.
-void StepSubmissions(NodeTurn& turn);
+/// Reports a verdict to the submitter. UNKNOWN is not reported before the
+/// submission expires; until then the submission is retried.
+void HandleVerdict(NodeTurn& turn, std::uint64_t token, wire::Verdict verdict,
+                   const std::string& reason);
+/// Retries pending submissions and ends expired ones with UNKNOWN.
+void RetrySubmissions(NodeTurn& turn);
 void HandleOperator(NodeTurn& turn, const MessageArrived& event);
 
 }  // namespace filbertwall
