--- a/Source/Rules/Explain.cc
+++ b/Source/Rules/Explain.cc
@@ -3,7 +3,7 @@
 namespace filbertwall {
 namespace {
 
-std::string Whose(const Origin& origin) {
+std::string FormatOrigin(const Origin& origin) {
   return "line " + std::to_string(origin.line) + ", asked by " + origin.asker +
          "\n";
 }
@@ -20,8 +20,8 @@
   const ServiceRule& service = rules.services.at(address->second.service);
   return {.found = true,
           .text = "address " + text + " -> service " + service.name + ": " +
-                  Whose(address->second.origin) + "service " + service.name +
-                  ": " + Whose(service.origin)};
+                  FormatOrigin(address->second.origin) + "service " +
+                  service.name + ": " + FormatOrigin(service.origin)};
 }
 
 Explanation ExplainRequest(const Rules& rules, const std::string& host,
@@ -30,7 +30,8 @@
   if (service == nullptr) {
     return {.text = host + ": no service has this name or address\n"};
   }
-  std::string text = "service " + service->name + ": " + Whose(service->origin);
+  std::string text =
+      "service " + service->name + ": " + FormatOrigin(service->origin);
   const RequestRule* rule = FindRequestRule(rules, service->name, method, path);
   if (rule == nullptr) {
     text += "request " + method + " " + path + ": no line; defaults apply\n";
@@ -39,14 +40,14 @@
             " deadline=" + std::to_string(rule->deadline.count()) +
             "ms retries=" + std::to_string(rule->retries) +
             " queue=" + std::to_string(rule->queue) + ": " +
-            Whose(rule->origin);
+            FormatOrigin(rule->origin);
   }
   text += std::string("idempotent: ") +
           (IsIdempotent(rule, method) ? "yes" : "no") + "\n";
   const auto limit = rules.limits.find(service->name);
   if (limit != rules.limits.end()) {
     text += "limit slots=" + std::to_string(limit->second.slots) + ": " +
-            Whose(limit->second.origin);
+            FormatOrigin(limit->second.origin);
   }
   return {.found = true, .text = text};
 }
--- a/Source/Rules/Explain.h
+++ b/Source/Rules/Explain.h
@@ -5,15 +5,17 @@
 
 #include "Rules/Rules.h"
 
-/// Says which lines of the rules are in force for a subject, and whose.
+/// Reports which lines of the rules apply to a request or flow, and who
+/// requested them.
 namespace filbertwall {
 
 struct Explanation {
-  bool found = false;
-  std::string text;  ///< Ends with a newline.
+  bool found = false;  ///< A service matches the subject.
+  std::string text;    ///< Ends with a newline.
 };
 
-/// `subject` is HOST METHOD PATH, or IP:PORT of a flow. Pure.
+/// `subject` is HOST METHOD PATH of a request, or the destination IP:PORT of a
+/// flow. Pure.
 Explanation Explain(const Rules& rules,
                     const std::vector<std::string>& subject);
 
--- a/Source/Rules/Rules.h
+++ b/Source/Rules/Rules.h
@@ -8,29 +8,35 @@
 #include "Base/Endpoint.h"
 #include "Base/Time.h"
 
-/// The rules that operators hand over, as plain data.
+/// The parsed contents of a rules file.
 namespace filbertwall {
 
 enum class Protocol { kHttp, kPackets };
 
-/// What a service weighs more when its set of backend servers changes.
-enum class Preference { kStability, kBalance };
+/// What the choice of servers favours when a service's set of backend servers
+/// changes.
+enum class Preference {
+  kStability,  ///< The fewest broken flows.
+  kBalance     ///< The most even distribution.
+};
 
+/// Whether requests are idempotent; `kByMethod`: as RFC 9110 defines the
+/// method.
 enum class Idempotence { kByMethod, kYes, kNo };
 
 enum class TrafficClass { kInteractive, kBulk };
 
-/// Where a rule stands and who asked for it.
+/// Line of a rule in the file, and who requested it.
 struct Origin {
   int line = 0;
-  std::string asker;
+  std::string asker;  ///< The NAME in the comment `# by: NAME`.
 };
 
-/// What a service's operators tell of it beside its treatment here.
+/// Properties of a service that are stored for readers of the rules.
 struct ServiceDetails {
   std::string health_path;
   std::string application = "h1";  ///< Protocol inside the flows.
-  std::uint32_t flow_limit = 0;    ///< Of each backend server; 0: none given.
+  std::uint32_t flow_limit = 0;    ///< Of each backend server; 0: not set.
   bool tls = false;
   bool operator==(const ServiceDetails&) const = default;
 };
@@ -43,17 +49,17 @@
   Origin origin;
 };
 
-/// A service among those that the flows to one address are split over.
+/// A service that receives a weighted share of the new flows to an address.
 struct SharedService {
   std::string service;
   std::uint32_t weight = 1;
   bool operator==(const SharedService&) const = default;
 };
 
-/// Whether the requests inside a flow may be repeated.
+/// Whether the requests inside a flow may be retried.
 enum class RouteKind { kUnsafe, kSafe, kDownload };
 
-/// How the flows to one address are treated.
+/// Settings for the flows to one address.
 struct RouteTreatment {
   std::string name;  ///< For operators; may be empty.
   RouteKind kind = RouteKind::kUnsafe;
@@ -68,12 +74,12 @@
   Endpoint address;
   std::string service;  ///< The first of `shares`.
   std::vector<SharedService> shares;
-  bool weighted = false;  ///< The line gives weights.
+  bool weighted = false;  ///< The line sets a weight.
   RouteTreatment treatment;
   Origin origin;
 };
 
-/// Limits on requests that the instances between caller and server observe.
+/// Limits on requests, for the instances between caller and server to enforce.
 struct BoundsRule {
   std::uint32_t header_bytes = 0;
   std::uint32_t body_bytes = 0;
@@ -82,14 +88,14 @@
   bool operator==(const BoundsRule&) const = default;
 };
 
-/// Treatment of the requests whose method and path prefix match.
+/// Settings for the requests whose method and path prefix match.
 struct RequestRule {
   std::string service;
   std::string method;  ///< "*" matches every method.
-  std::string path;
+  std::string path;    ///< Prefix of the request's path.
   Milliseconds deadline{2000};
   std::uint32_t retries = 0;
-  std::uint32_t queue = 64;
+  std::uint32_t queue = 64;  ///< Maximum length of the queue.
   Idempotence idempotence = Idempotence::kByMethod;
   TrafficClass traffic_class = TrafficClass::kBulk;
   Origin origin;
@@ -102,7 +108,7 @@
   Origin origin;
 };
 
-/// Upper bound on the slots used of each backend server of a service.
+/// Maximum number of slots used at each backend server of a service.
 struct LimitRule {
   std::string service;
   std::uint32_t slots = 0;
@@ -119,22 +125,23 @@
   BoundsRule bounds;
 };
 
-/// The service that a request's Host header names: a service's name or one of
-/// its addresses. Null when there is none.
+/// Returns the service whose name or address equals a request's Host header, or
+/// null.
 const ServiceRule* FindServiceByHost(const Rules& rules,
                                      const std::string& host);
 
-/// The matching rule with the longest path, an exact method before "*". Null
-/// when there is none.
+/// Returns the matching rule with the longest path, or null. Of two rules with
+/// the same path, an exact method precedes "*".
 const RequestRule* FindRequestRule(const Rules& rules,
                                    const std::string& service,
                                    const std::string& method,
                                    const std::string& path);
 
-/// The rule's wish, or RFC 9110 section 9.2.2 by method when there is none.
+/// Returns the rule's setting. Without one, the method decides as in RFC 9110,
+/// section 9.2.2. `rule` may be null.
 bool IsIdempotent(const RequestRule* rule, const std::string& method);
 
-/// 1 when no rule sets the weight of the backend server.
+/// Returns the weight of a backend server, 1 if no rule sets it.
 std::uint32_t WeightOf(const Rules& rules, const std::string& service,
                        const Endpoint& backend);
 
--- a/Source/Rules/RulesParser.cc
+++ b/Source/Rules/RulesParser.cc
@@ -9,12 +9,12 @@
 namespace filbertwall {
 namespace {
 
-constexpr std::string_view kAskerMark = "by:";
-constexpr std::uint32_t kMostNumber = INT32_MAX;
+constexpr std::string_view kRequesterPrefix = "by:";
+constexpr std::uint32_t kMaxNumber = INT32_MAX;
 
 using Options = std::map<std::string, std::string>;
 
-/// State of one pass over the file.
+/// State of parsing one file.
 struct Parser {
   ParsedRules result;
   std::string file;
@@ -41,7 +41,8 @@
              "\", and against it by \"" + earlier.asker + "\"");
 }
 
-/// Splits "key=value" words; reports any that is unknown, doubled or bare.
+/// Splits "key=value" words. Reports each unknown key, duplicate key and word
+/// without "=".
 Options ParseOptions(Parser& parser, const std::vector<std::string>& words,
                      std::size_t first, const std::set<std::string>& known) {
   Options options;
@@ -64,8 +65,10 @@
 }
 
 template <typename Value>
-void TakeChoice(Parser& parser, const Options& options, const std::string& key,
-                const std::map<std::string, Value>& choices, Value& target) {
+void ReadChoiceOption(Parser& parser, const Options& options,
+                      const std::string& key,
+                      const std::map<std::string, Value>& choices,
+                      Value& target) {
   const auto option = options.find(key);
   if (option == options.end()) {
     return;
@@ -82,8 +85,9 @@
   Report(parser, key + "=" + option->second, list);
 }
 
-void TakeNumber(Parser& parser, const Options& options, const std::string& key,
-                std::uint32_t min, std::uint32_t max, std::uint32_t& target) {
+void ReadNumberOption(Parser& parser, const Options& options,
+                      const std::string& key, std::uint32_t min,
+                      std::uint32_t max, std::uint32_t& target) {
   const auto option = options.find(key);
   if (option == options.end()) {
     return;
@@ -98,40 +102,42 @@
   target = static_cast<std::uint32_t>(*number);
 }
 
-void TakeText(const Options& options, const std::string& key,
-              std::string& target) {
+void ReadTextOption(const Options& options, const std::string& key,
+                    std::string& target) {
   const auto option = options.find(key);
   if (option != options.end()) {
     target = option->second;
   }
 }
 
-void TakeDuration(Parser& parser, const Options& options,
-                  const std::string& key, Milliseconds least,
-                  Milliseconds& target) {
+void ReadDurationOption(Parser& parser, const Options& options,
+                        const std::string& key, Milliseconds minimum,
+                        Milliseconds& target) {
   const auto option = options.find(key);
   if (option == options.end()) {
     return;
   }
   const auto duration = ParseDuration(option->second);
-  if (!duration || *duration < least) {
-    Report(parser, key + "=" + option->second,
-           "a duration from " + std::to_string(least.count()) + "ms to 3600s");
+  if (!duration || *duration < minimum) {
+    Report(
+        parser, key + "=" + option->second,
+        "a duration from " + std::to_string(minimum.count()) + "ms to 3600s");
     return;
   }
   target = *duration;
 }
 
-bool HasWords(Parser& parser, const std::vector<std::string>& words,
-              std::size_t count, const std::string& shape) {
+bool HasMinWords(Parser& parser, const std::vector<std::string>& words,
+                 std::size_t count, const std::string& syntax) {
   if (words.size() >= count) {
     return true;
   }
-  Report(parser, parser.line_text, shape);
+  Report(parser, parser.line_text, syntax);
   return false;
 }
 
-std::optional<Endpoint> TakeEndpoint(Parser& parser, const std::string& word) {
+std::optional<Endpoint> ParseEndpointWord(Parser& parser,
+                                          const std::string& word) {
   const auto endpoint = ParseEndpoint(word);
   if (!endpoint) {
     Report(parser, word, "an IPv4 address and a port, such as 10.0.0.1:80");
@@ -158,28 +164,29 @@
 }
 
 void ParseService(Parser& parser, const std::vector<std::string>& words) {
-  if (!HasWords(parser, words, 2,
-                "service NAME [protocol=http|packets] "
-                "[prefer=stability|balance]")) {
+  if (!HasMinWords(parser, words, 2,
+                   "service NAME [protocol=http|packets] "
+                   "[prefer=stability|balance]")) {
     return;
   }
   const Options options = ParseOptions(
       parser, words, 2,
       {"protocol", "prefer", "health", "application", "flows", "tls"});
   ServiceRule rule{.name = words[1], .origin = parser.origin};
-  TakeText(options, "health", rule.details.health_path);
-  TakeText(options, "application", rule.details.application);
-  TakeNumber(parser, options, "flows", 0, kMostNumber, rule.details.flow_limit);
-  TakeChoice<bool>(parser, options, "tls", {{"yes", true}, {"no", false}},
-                   rule.details.tls);
-  TakeChoice<Protocol>(
+  ReadTextOption(options, "health", rule.details.health_path);
+  ReadTextOption(options, "application", rule.details.application);
+  ReadNumberOption(parser, options, "flows", 0, kMaxNumber,
+                   rule.details.flow_limit);
+  ReadChoiceOption<bool>(parser, options, "tls", {{"yes", true}, {"no", false}},
+                         rule.details.tls);
+  ReadChoiceOption<Protocol>(
       parser, options, "protocol",
       {{"http", Protocol::kHttp}, {"packets", Protocol::kPackets}},
       rule.protocol);
-  TakeChoice<Preference>(parser, options, "prefer",
-                         {{"stability", Preference::kStability},
-                          {"balance", Preference::kBalance}},
-                         rule.preference);
+  ReadChoiceOption<Preference>(parser, options, "prefer",
+                               {{"stability", Preference::kStability},
+                                {"balance", Preference::kBalance}},
+                               rule.preference);
   const auto [position, added] =
       parser.result.rules.services.emplace(rule.name, rule);
   const ServiceRule& first = position->second;
@@ -192,13 +199,13 @@
 
 /// Parses SERVICE or SERVICE=WEIGHT[,SERVICE=WEIGHT...].
 void ParseShares(Parser& parser, const std::string& word, AddressRule& rule) {
-  constexpr std::uint32_t kMostShareWeight = 1000000;
+  constexpr std::uint32_t kMaxShareWeight = 1000000;
   std::uint64_t total = 0;
   for (const std::string& part : SplitAt(word, ',')) {
     const std::vector<std::string> sides = SplitAt(part, '=');
     SharedService share{.service = sides[0]};
     if (sides.size() > 1) {
-      const auto weight = ParseNumber(sides[1], 0, kMostShareWeight);
+      const auto weight = ParseNumber(sides[1], 0, kMaxShareWeight);
       if (sides.size() > 2 || !weight) {
         Report(parser, part, "SERVICE=WEIGHT, the weight from 0 to 1000000");
         return;
@@ -220,17 +227,20 @@
   const Options options = ParseOptions(
       parser, words, 3,
       {"name", "kind", "timeout", "objective", "priority", "attempts"});
-  TakeText(options, "name", treatment.name);
-  TakeChoice<RouteKind>(parser, options, "kind",
-                        {{"unsafe", RouteKind::kUnsafe},
-                         {"safe", RouteKind::kSafe},
-                         {"download", RouteKind::kDownload}},
-                        treatment.kind);
-  TakeDuration(parser, options, "timeout", Milliseconds(1), treatment.timeout);
-  TakeDuration(parser, options, "objective", Milliseconds(0),
-               treatment.objective);
-  TakeNumber(parser, options, "priority", 0, kMostNumber, treatment.priority);
-  TakeNumber(parser, options, "attempts", 0, kMostNumber, treatment.attempts);
+  ReadTextOption(options, "name", treatment.name);
+  ReadChoiceOption<RouteKind>(parser, options, "kind",
+                              {{"unsafe", RouteKind::kUnsafe},
+                               {"safe", RouteKind::kSafe},
+                               {"download", RouteKind::kDownload}},
+                              treatment.kind);
+  ReadDurationOption(parser, options, "timeout", Milliseconds(1),
+                     treatment.timeout);
+  ReadDurationOption(parser, options, "objective", Milliseconds(0),
+                     treatment.objective);
+  ReadNumberOption(parser, options, "priority", 0, kMaxNumber,
+                   treatment.priority);
+  ReadNumberOption(parser, options, "attempts", 0, kMaxNumber,
+                   treatment.attempts);
 }
 
 void ParseBounds(Parser& parser, const std::vector<std::string>& words) {
@@ -238,11 +248,13 @@
       ParseOptions(parser, words, 1, {"header", "body", "header-wait", "idle"});
   BoundsRule& bounds = parser.result.rules.bounds;
   const BoundsRule before = bounds;
-  TakeNumber(parser, options, "header", 0, kMostNumber, bounds.header_bytes);
-  TakeNumber(parser, options, "body", 0, kMostNumber, bounds.body_bytes);
-  TakeDuration(parser, options, "header-wait", Milliseconds(0),
-               bounds.header_timeout);
-  TakeDuration(parser, options, "idle", Milliseconds(0), bounds.idle_timeout);
+  ReadNumberOption(parser, options, "header", 0, kMaxNumber,
+                   bounds.header_bytes);
+  ReadNumberOption(parser, options, "body", 0, kMaxNumber, bounds.body_bytes);
+  ReadDurationOption(parser, options, "header-wait", Milliseconds(0),
+                     bounds.header_timeout);
+  ReadDurationOption(parser, options, "idle", Milliseconds(0),
+                     bounds.idle_timeout);
   if (parser.bounds_seen && bounds != before) {
     ReportConflict(parser, parser.bounds_origin);
   }
@@ -251,15 +263,16 @@
 }
 
 void ParseAddress(Parser& parser, const std::vector<std::string>& words) {
-  if (!HasWords(parser, words, 3,
-                "address IP:PORT SERVICE[=WEIGHT][,SERVICE[=WEIGHT]] [name=] "
-                "[kind=] [timeout=] [objective=] [priority=] [attempts=]")) {
+  if (!HasMinWords(
+          parser, words, 3,
+          "address IP:PORT SERVICE[=WEIGHT][,SERVICE[=WEIGHT]] [name=] "
+          "[kind=] [timeout=] [objective=] [priority=] [attempts=]")) {
     return;
   }
   AddressRule rule{.origin = parser.origin};
   ParseShares(parser, words[2], rule);
   ParseTreatment(parser, words, rule.treatment);
-  const auto endpoint = TakeEndpoint(parser, words[1]);
+  const auto endpoint = ParseEndpointWord(parser, words[1]);
   if (!endpoint || rule.shares.empty()) {
     return;
   }
@@ -272,16 +285,16 @@
   }
 }
 
-bool SameTreatment(const RequestRule& left, const RequestRule& right) {
+bool SameSettings(const RequestRule& left, const RequestRule& right) {
   return left.deadline == right.deadline && left.retries == right.retries &&
          left.queue == right.queue && left.idempotence == right.idempotence &&
          left.traffic_class == right.traffic_class;
 }
 
 void ParseRequest(Parser& parser, const std::vector<std::string>& words) {
-  if (!HasWords(parser, words, 4,
-                "request SERVICE METHOD PATH [deadline=] [retries=] "
-                "[idempotent=] [queue=] [class=]")) {
+  if (!HasMinWords(parser, words, 4,
+                   "request SERVICE METHOD PATH [deadline=] [retries=] "
+                   "[idempotent=] [queue=] [class=]")) {
     return;
   }
   const Options options =
@@ -291,18 +304,19 @@
                    .method = words[2],
                    .path = words[3],
                    .origin = parser.origin};
-  TakeDuration(parser, options, "deadline", Milliseconds(1), rule.deadline);
-  constexpr std::uint32_t kMostRetries = 10;
-  constexpr std::uint32_t kLongestQueue = 100000;
-  TakeNumber(parser, options, "retries", 0, kMostRetries, rule.retries);
-  TakeNumber(parser, options, "queue", 0, kLongestQueue, rule.queue);
-  TakeChoice<Idempotence>(
+  ReadDurationOption(parser, options, "deadline", Milliseconds(1),
+                     rule.deadline);
+  constexpr std::uint32_t kMaxRetries = 10;
+  constexpr std::uint32_t kMaxQueueLength = 100000;
+  ReadNumberOption(parser, options, "retries", 0, kMaxRetries, rule.retries);
+  ReadNumberOption(parser, options, "queue", 0, kMaxQueueLength, rule.queue);
+  ReadChoiceOption<Idempotence>(
       parser, options, "idempotent",
       {{"yes", Idempotence::kYes}, {"no", Idempotence::kNo}}, rule.idempotence);
-  TakeChoice<TrafficClass>(parser, options, "class",
-                           {{"interactive", TrafficClass::kInteractive},
-                            {"bulk", TrafficClass::kBulk}},
-                           rule.traffic_class);
+  ReadChoiceOption<TrafficClass>(parser, options, "class",
+                                 {{"interactive", TrafficClass::kInteractive},
+                                  {"bulk", TrafficClass::kBulk}},
+                                 rule.traffic_class);
   if (!rule.path.starts_with("/")) {
     Report(parser, rule.path, "a path that starts with /");
   }
@@ -311,10 +325,10 @@
            "retries=0, as the request is not idempotent");
   }
   for (const RequestRule& earlier : parser.result.rules.requests) {
-    const bool same_subject = earlier.service == rule.service &&
-                              earlier.method == rule.method &&
-                              earlier.path == rule.path;
-    if (same_subject && !SameTreatment(earlier, rule)) {
+    const bool same_match = earlier.service == rule.service &&
+                            earlier.method == rule.method &&
+                            earlier.path == rule.path;
+    if (same_match && !SameSettings(earlier, rule)) {
       ReportConflict(parser, earlier.origin);
     }
   }
@@ -322,14 +336,14 @@
 }
 
 void ParseWeight(Parser& parser, const std::vector<std::string>& words) {
-  if (!HasWords(parser, words, 4, "weight SERVICE IP:PORT NUMBER")) {
+  if (!HasMinWords(parser, words, 4, "weight SERVICE IP:PORT NUMBER")) {
     return;
   }
   ParseOptions(parser, words, 4, {});
-  constexpr std::uint32_t kMostWeight = 1000;
+  constexpr std::uint32_t kMaxWeight = 1000;
   WeightRule rule{.service = words[1], .origin = parser.origin};
-  const auto endpoint = TakeEndpoint(parser, words[2]);
-  const auto weight = ParseNumber(words[3], 0, kMostWeight);
+  const auto endpoint = ParseEndpointWord(parser, words[2]);
+  const auto weight = ParseNumber(words[3], 0, kMaxWeight);
   if (!weight) {
     Report(parser, words[3], "a weight from 0 to 1000");
   }
@@ -339,9 +353,9 @@
   rule.backend = *endpoint;
   rule.weight = static_cast<std::uint32_t>(*weight);
   for (const WeightRule& earlier : parser.result.rules.weights) {
-    const bool same_subject =
+    const bool same_match =
         earlier.service == rule.service && earlier.backend == rule.backend;
-    if (same_subject && earlier.weight != rule.weight) {
+    if (same_match && earlier.weight != rule.weight) {
       ReportConflict(parser, earlier.origin);
     }
   }
@@ -349,13 +363,13 @@
 }
 
 void ParseLimit(Parser& parser, const std::vector<std::string>& words) {
-  if (!HasWords(parser, words, 3, "limit SERVICE slots=NUMBER")) {
+  if (!HasMinWords(parser, words, 3, "limit SERVICE slots=NUMBER")) {
     return;
   }
-  constexpr std::uint32_t kMostSlots = 100000;
+  constexpr std::uint32_t kMaxSlots = 100000;
   const Options options = ParseOptions(parser, words, 2, {"slots"});
   LimitRule rule{.service = words[1], .origin = parser.origin};
-  TakeNumber(parser, options, "slots", 1, kMostSlots, rule.slots);
+  ReadNumberOption(parser, options, "slots", 1, kMaxSlots, rule.slots);
   const auto [position, added] =
       parser.result.rules.limits.emplace(rule.service, rule);
   if (!added && position->second.slots != rule.slots) {
@@ -363,15 +377,15 @@
   }
 }
 
-void ParseWords(Parser& parser, const std::vector<std::string>& words) {
+void ParseRule(Parser& parser, const std::vector<std::string>& words) {
   static const std::map<std::string,
                         void (*)(Parser&, const std::vector<std::string>&)>
-      kKinds = {{"version", ParseVersion}, {"service", ParseService},
-                {"address", ParseAddress}, {"request", ParseRequest},
-                {"weight", ParseWeight},   {"limit", ParseLimit},
-                {"bounds", ParseBounds}};
-  const auto kind = kKinds.find(words[0]);
-  if (kind == kKinds.end()) {
+      kRuleParsers = {{"version", ParseVersion}, {"service", ParseService},
+                      {"address", ParseAddress}, {"request", ParseRequest},
+                      {"weight", ParseWeight},   {"limit", ParseLimit},
+                      {"bounds", ParseBounds}};
+  const auto kind = kRuleParsers.find(words[0]);
+  if (kind == kRuleParsers.end()) {
     Report(parser, words[0],
            "version, service, address, request, weight, limit or bounds");
     return;
@@ -391,17 +405,17 @@
   }
   parser.line_text = std::string(rule);
   parser.origin.asker.clear();
-  if (comment.starts_with(kAskerMark)) {
-    parser.origin.asker = Trim(comment.substr(kAskerMark.size()));
+  if (comment.starts_with(kRequesterPrefix)) {
+    parser.origin.asker = Trim(comment.substr(kRequesterPrefix.size()));
   }
   if (parser.origin.asker.empty()) {
     Report(parser, parser.line_text,
            "a comment that names who asked for it: # by: NAME");
   }
-  ParseWords(parser, SplitWords(rule));
+  ParseRule(parser, SplitWords(rule));
 }
 
-/// Reports rules whose service no line defines.
+/// Reports a rule whose service is not defined by any line.
 void CheckReference(Parser& parser, const std::string& service,
                     const Origin& origin) {
   if (parser.result.rules.services.contains(service)) {
