--- a/Source/Settings/Settings.cc
+++ b/Source/Settings/Settings.cc
@@ -12,14 +12,14 @@
 namespace filbertwall {
 namespace {
 
-constexpr std::size_t kPublicKeyLength = 40;  // Z85 of 32 bytes
+constexpr std::size_t kPublicKeyLength = 40;  // 32 bytes in Z85
 
 struct Parser {
   ParsedSettings result;
   std::string file;
-  std::string_view unread;
+  std::string_view remaining;
   int line = 0;
-  std::set<std::string> seen;
+  std::set<std::string> seen_keys;
 };
 
 void Report(Parser& parser, const std::string& text,
@@ -30,18 +30,19 @@
                                            .expected = expected});
 }
 
-/// Hands inih one line a call, so that the line number is known.
+/// Passes one line per call to inih and counts the lines, so that findings have
+/// a line number.
 char* ReadLine(char* buffer, int size, void* stream) {
   auto& parser = *static_cast<Parser*>(stream);
-  if (parser.unread.empty()) {
+  if (parser.remaining.empty()) {
     return nullptr;
   }
   ++parser.line;
-  const std::size_t newline = parser.unread.find('\n');
-  const std::size_t length = std::min(newline, parser.unread.size());
-  std::string line(parser.unread.substr(0, length));
-  parser.unread.remove_prefix(newline == std::string_view::npos ? length
-                                                                : length + 1);
+  const std::size_t newline = parser.remaining.find('\n');
+  const std::size_t length = std::min(newline, parser.remaining.size());
+  std::string line(parser.remaining.substr(0, length));
+  parser.remaining.remove_prefix(
+      newline == std::string_view::npos ? length : length + 1);
   if (line.size() + 2 > static_cast<std::size_t>(size)) {
     Report(parser, line.substr(0, 20) + "...", "a line of at most 198 bytes");
     line.clear();
@@ -106,7 +107,7 @@
   };
 }
 
-Setter KeySetter(std::string& target) {
+Setter PublicKeySetter(std::string& target) {
   return [&target](Parser& parser, const std::string& value) {
     if (value.size() != kPublicKeyLength) {
       Report(parser, value, "a public key of 40 characters");
@@ -126,7 +127,8 @@
   };
 }
 
-/// A number, or an IPv4 address, which is unique without being handed out.
+/// Accepts a number or an IPv4 address. An address is unique without a central
+/// assignment of ids.
 Setter IdSetter(std::uint32_t& target) {
   return [&target](Parser& parser, const std::string& value) {
     const auto number = ParseNumber(value, 1, UINT32_MAX);
@@ -211,10 +213,10 @@
           {"packet_address", EndpointSetter(peer.packet_address)},
           {"data_centre", TextSetter(peer.data_centre)},
           {"roles", RolesSetter(peer.roles)},
-          {"public_key", KeySetter(peer.public_key)}};
+          {"public_key", PublicKeySetter(peer.public_key)}};
 }
 
-Setters SettersOf(Parser& parser, const std::string& section) {
+Setters SettersForSection(Parser& parser, const std::string& section) {
   constexpr std::string_view kPeer = "peer.";
   constexpr std::string_view kOperator = "operator.";
   Settings& settings = parser.result.settings;
@@ -237,15 +239,15 @@
   }
   if (section.starts_with(kOperator)) {
     const std::string name = section.substr(kOperator.size());
-    return {{"public_key", KeySetter(settings.security.operators[name])}};
+    return {{"public_key", PublicKeySetter(settings.security.operators[name])}};
   }
   return {};
 }
 
-int TakeValue(void* user, const char* section, const char* name,
-              const char* value) {
+int HandleEntry(void* user, const char* section, const char* name,
+                const char* value) {
   auto& parser = *static_cast<Parser*>(user);
-  const Setters setters = SettersOf(parser, section);
+  const Setters setters = SettersForSection(parser, section);
   if (setters.empty()) {
     Report(parser, "[" + std::string(section) + "]",
            "[instance], [fleet], [security], [peer.ID] or [operator.NAME]");
@@ -260,7 +262,7 @@
     Report(parser, name, "one of " + known);
     return 1;
   }
-  if (!parser.seen.insert(std::string(section) + "." + name).second) {
+  if (!parser.seen_keys.insert(std::string(section) + "." + name).second) {
     Report(parser, name, "each key once in its section");
     return 1;
   }
@@ -291,8 +293,8 @@
   }
 }
 
-/// Reports what is missing from the file as a whole.
-void CheckWhole(Parser& parser) {
+/// Reports required keys that are missing, and roles that exclude each other.
+void CheckRequired(Parser& parser) {
   const Settings& settings = parser.result.settings;
   const bool fleet = !settings.fleet.seeds.empty();
   parser.line = 0;
@@ -328,14 +330,15 @@
 
 ParsedSettings ParseSettings(const std::string& text,
                              const std::string& file_name) {
-  Parser parser{.file = file_name, .unread = text};
-  const int bad_line = ini_parse_stream(ReadLine, &parser, TakeValue, &parser);
+  Parser parser{.file = file_name, .remaining = text};
+  const int bad_line =
+      ini_parse_stream(ReadLine, &parser, HandleEntry, &parser);
   if (bad_line > 0) {
     parser.line = bad_line;
     Report(parser, "line " + std::to_string(bad_line),
            "[section], key = value, or a comment");
   }
-  CheckWhole(parser);
+  CheckRequired(parser);
   return std::move(parser.result);
 }
 
--- a/Source/Settings/Settings.h
+++ b/Source/Settings/Settings.h
@@ -9,7 +9,7 @@
 #include "Base/Finding.h"
 #include "Base/Time.h"
 
-/// Settings of one process, read from an INI file.
+/// Settings of one process, parsed from an INI file. See docs/settings.md.
 namespace filbertwall {
 
 struct Roles {
@@ -19,11 +19,11 @@
 
 struct PeerSettings {
   std::uint32_t id = 0;
-  Endpoint address;         ///< Where its messages from other instances arrive.
-  Endpoint packet_address;  ///< Where packets are handed to it.
+  Endpoint address;         ///< Receives messages from other instances.
+  Endpoint packet_address;  ///< Receives forwarded packets.
   std::string data_centre;
   Roles roles;
-  std::string public_key;  ///< Z85; empty without CURVE.
+  std::string public_key;  ///< In Z85; empty without CURVE.
 };
 
 struct SecuritySettings {
@@ -32,16 +32,16 @@
   std::map<std::string, std::string> operators;  ///< Name to public key.
 };
 
-/// A fleet's instances find each other at run time, by control instances that
-/// the settings name.
+/// Settings of an instance in a fleet. The instances of a fleet discover each
+/// other at run time through the control instances in `seeds`.
 struct FleetSettings {
   std::vector<Endpoint> seeds;         ///< Control instances; empty: no fleet.
   bool first_start = false;            ///< No instance of the fleet ran before.
   std::uint32_t tolerated_losses = 1;  ///< Disks that may be lost at once.
-  Milliseconds announce_interval{1000};  ///< Between a server's reports.
+  Milliseconds announce_interval{1000};  ///< Between reports of a server.
   std::uint16_t metrics_port = 0;        ///< 0: no metrics are served.
-  bool refuse_overload = true;  ///< New flows that would be served too late.
-  /// Where other instances are reached; 0: the port of control_address.
+  bool refuse_overload = true;  ///< Refuse new flows that would be served late.
+  /// Port of the other instances; 0: the port of control_address.
   std::uint16_t peer_port = 0;
 };
 
@@ -66,11 +66,11 @@
 
 struct ParsedSettings {
   Settings settings;
-  std::vector<Finding> findings;  ///< Empty when the settings may be used.
+  std::vector<Finding> findings;  ///< Empty if the settings are valid.
 };
 
 /// Parses settings and reports every finding. `file_name` is for diagnostics.
-/// Pure; files that the settings name are not looked at.
+/// Pure: does not read the files that the settings name.
 ParsedSettings ParseSettings(const std::string& text,
                              const std::string& file_name);
 
