--- a/Source/Admission/Admission.cc
+++ b/Source/Admission/Admission.cc
@@ -17,24 +17,25 @@
 constexpr RefusalRange kRetryable{.none_refused = 0.4, .all_refused = 0.65};
 constexpr RefusalRange kNonRetryable{.none_refused = 0.65, .all_refused = 1.0};
 
-/// A higher slowness shows that requests wait in the queues of the servers.
+/// Above this slowness, requests wait in the queues of the servers. Below it,
+/// the flows in flight are not used for the estimate.
 constexpr double kQueueingSlowness = 0.45;
 constexpr double kMaxSlowness = 1.5;
 /// Time constant of the exponential decay of `recent_ends`.
 constexpr Milliseconds kEndsDecayTime{300};
 /// Weight of a new duration in the moving averages.
 constexpr double kDurationWeight = 0.15;
-/// Number of flows in flight at which the estimate from the flows in flight has
-/// the same weight as the estimate from recent durations.
+/// With this many flows in flight, the estimate from the flows in flight and
+/// the estimate from recent durations have equal weights.
 constexpr double kEqualWeightFlows = 6;
-/// The same when the estimate from the flows in flight is lower. The queue has
-/// probably become shorter then, while the durations still include waiting
-/// times from when the ended flows were opened.
+/// The same when the estimate from the flows in flight is the lower one. Then
+/// the queue has probably become shorter, but the recent durations still
+/// include the time that flows waited in the longer queue.
 constexpr double kEqualWeightFlowsWhenShorter = 0.5;
-/// A time without ended flows is normal up to this multiple of the mean
-/// interval between ends.
+/// A time in which no flow ends is normal up to this multiple of the mean
+/// interval between the ends of flows.
 constexpr double kNormalIntervals = 3;
-/// Time constant of the exponential decay of `slowness` beyond that time.
+/// Time constant of the exponential decay of `slowness` after that time.
 constexpr Milliseconds kSlownessDecayTime{150};
 /// Measurements are ignored when no flow has ended for longer than this.
 constexpr Milliseconds kMaxMeasurementAge{1500};
@@ -49,7 +50,7 @@
 
 double ToDouble(Milliseconds time) { return static_cast<double>(time.count()); }
 
-/// Returns the decayed number of flows that ended, at `now`.
+/// Returns `recent_ends`, decayed to `now`.
 double RecentEnds(const ServicePace& measurements, TimePoint now) {
   const double elapsed_ms =
       std::chrono::duration<double, std::milli>(now - measurements.last_end_at)
@@ -63,8 +64,8 @@
          now - measurements.last_end_at <= kMaxMeasurementAge;
 }
 
-/// Returns the time in which the flows in flight will end at the current rate,
-/// divided by the objective.
+/// Returns the time until the flows in flight have ended at the current rate of
+/// ends, divided by the objective.
 double SlownessFromInFlight(const ServicePace& measurements, TimePoint now) {
   const double ends_per_ms =
       RecentEnds(measurements, now) / ToDouble(kEndsDecayTime);
@@ -128,8 +129,8 @@
       AdmittedShare(request.repeatable ? kRetryable : kNonRetryable, slowness);
   const std::uint64_t draw =
       MixHash(request.caller, admission.round) % kDrawRange;
-  // An instance without flows in flight does not contribute to the overload.
-  // If it refused every flow, it could not detect the end of the overload.
+  // An instance without flows in flight does not contribute to the overload,
+  // and if it refused every flow, it could not detect the end of the overload.
   const bool admitted =
       MeasurementsOf(admission, request.service).in_flight == 0 ||
       static_cast<double>(draw) < share * kDrawRange;
--- a/Source/Admission/Admission.h
+++ b/Source/Admission/Admission.h
@@ -7,27 +7,28 @@
 
 /// Admission control: refuses new flows of services that are overloaded.
 ///
-/// When a service receives more requests than its servers can process for some
-/// seconds, the queues of the servers fill and every answer misses its latency
-/// objective. Refusing the excess at once lets the remaining requests be
-/// answered in time.
+/// When, for some seconds, a service receives more requests than its servers
+/// can process, the queues of the servers fill and every answer misses its
+/// latency objective. When the excess is refused at once, the remaining
+/// requests are answered in time.
 ///
-/// The decision is based on flow durations relative to their latency objective.
-/// They are estimated from flows that have ended and, by Little's law, from the
-/// flows in flight and the rate at which flows end. Since this is the latency
-/// that callers experience, nothing is refused while servers have spare
-/// capacity, even when an instance has incomplete knowledge of the servers.
-/// Plain state and pure functions; not thread safe.
+/// The decision is based on slowness: the flow duration divided by its latency
+/// objective.
+/// Slowness is estimated from flows that have ended and, by Little's law, from
+/// the flows in flight and the rate at which flows end. Since it follows the
+/// latency that callers experience, nothing is refused while servers have spare
+/// capacity, even when an instance does not know all servers. Plain state and
+/// pure functions; not thread safe.
 namespace filbertwall {
 
 /// What one entry instance has measured of the flows of a service.
 struct ServicePace {
   /// Flows that a server has accepted and that have neither ended nor become
-  /// overdue.
+  /// overdue, that is, stayed open so long that they count as failed.
   std::uint32_t in_flight = 0;
   /// Flows that ended, with exponentially decaying weight.
   double recent_ends = 0;
-  /// Moving average of the duration divided by the objective.
+  /// Moving average of the flow duration divided by its objective.
   double slowness = 0;
   /// Moving average of the objective; 0 when nothing is measured.
   double objective_ms = 0;
@@ -43,7 +44,8 @@
 
 struct Admission {
   std::vector<ServicePace> services;  ///< By service index.
-  /// Determines which callers are refused first. Must be the same at all
+  /// Number of the current time interval. Determines together with the caller's
+  /// address which callers are refused first. Must be the same at all
   /// instances.
   std::uint64_t round = 0;
   AdmissionCounters counters;
@@ -64,8 +66,8 @@
 /// Returns whether the flow is admitted. The refused share of flows grows with
 /// the expected slowness. Flows whose requests must not be retried are refused
 /// only at a higher slowness than others. Within a round all instances refuse
-/// the same callers: a retry is refused as well instead of replacing a request
-/// that could be answered in time.
+/// the same callers. The retry of a refused request is thus refused as well;
+/// otherwise it would take the place of a request that can be answered in time.
 bool Admit(Admission& admission, const AdmissionRequest& request,
            TimePoint now);
 
--- a/Source/Distribution/PackedContents.cc
+++ b/Source/Distribution/PackedContents.cc
@@ -5,8 +5,8 @@
 namespace filbertwall {
 namespace {
 
-/// Packed records are not reused for longer, since the remaining warm-up time
-/// in them becomes outdated.
+/// Maximum age of packed records that are reused. The remaining warm-up time in
+/// them becomes outdated.
 constexpr Milliseconds kMaxRecordsAge{100};
 /// The first byte of packed contents gives their encoding.
 constexpr char kPlain = 'p';
@@ -60,7 +60,8 @@
   if (base >= newest) {
     return kEmpty;
   }
-  // All versions that the history does not contain share the full update.
+  // Receivers whose version is not in the history get every route; this update
+  // is cached under key 0.
   const std::uint64_t key = history.versions.contains(base) ? base : 0;
   const auto found = packed.routes.find(key);
   if (found != packed.routes.end()) {
@@ -76,7 +77,7 @@
                                       std::uint64_t change,
                                       std::size_t max_records, TimePoint now) {
   std::erase_if(packed.records, [&](const auto& item) {
-    return item.second.newest_change != registry.change ||
+    return item.second.registry_change != registry.change ||
            now - item.second.packed_at > kMaxRecordsAge;
   });
   const auto [position, added] = packed.records.try_emplace(change);
@@ -91,7 +92,7 @@
   }
   records = PackedRecords{.change = batch.change,
                           .complete = batch.complete,
-                          .newest_change = registry.change,
+                          .registry_change = registry.change,
                           .packed_at = now};
   if (message.servers_size() > 0) {
     records.bytes = PackBytes(message.SerializeAsString());
--- a/Source/Distribution/PackedContents.h
+++ b/Source/Distribution/PackedContents.h
@@ -9,50 +9,57 @@
 #include "Registry/Registry.h"
 #include "Wire/distribution.pb.h"
 
-/// Cache of update contents that are serialized and compressed once and sent
-/// to many receivers.
+/// Cache of the serialized and compressed routes and server records that are
+/// sent to other instances in updates.
 ///
-/// Without the cache, hundreds of instances that start at the same time would
-/// each cause every route and every backend server record to be serialized and
-/// compressed again. Plain state and pure functions; not thread safe.
+/// Without the cache, every route and every backend server record would be
+/// serialized and compressed once per receiver, for example for each of
+/// hundreds of instances that start at the same time. Plain state and pure
+/// functions; not thread safe.
 namespace filbertwall {
 
-/// A packed batch of server records, shared by all receivers that have seen the
-/// same registry change.
+/// A packed batch of server records, shared by all receivers that already have
+/// the records up to the same change number.
 struct PackedRecords {
   std::string bytes;
-  /// Every record up to this change is in this batch or an earlier one.
+  /// Number of the last registry change that this batch covers. The next batch
+  /// starts after it.
   std::uint64_t change = 0;
-  bool complete = true;             ///< No records follow this batch.
-  std::uint64_t newest_change = 0;  ///< `Registry::change` at packing time.
+  bool complete = true;  ///< This is the last batch.
+  /// `Registry::change` at packing time. The batch is outdated when it differs.
+  std::uint64_t registry_change = 0;
   TimePoint packed_at;
 };
 
 struct PackedContents {
-  std::uint64_t rules_version = 0;  ///< Version that `routes` update to.
-  /// Packed route updates by the receiver's version.
+  /// The rules version to which the updates in `routes` lead.
+  std::uint64_t rules_version = 0;
+  /// Packed route updates by the rules version that the receiver has; 0 for the
+  /// update with every route.
   std::map<std::uint64_t, std::string> routes;
-  /// Packed records by the last registry change that the receiver has.
+  /// Packed batches by the number of the last registry change that the receiver
+  /// has.
   std::map<std::uint64_t, PackedRecords> records;
 };
 
-/// Returns the packed result of `RoutesSince` for a receiver with version
+/// Returns the packed result of `RoutesSince` for a receiver with rules version
 /// `base`; empty when the receiver is up to date. The reference is valid until
 /// the next call.
 const std::string& PackRoutesSince(PackedContents& packed,
                                    const RouteHistory& history,
                                    std::uint64_t base);
 
-/// Returns the packed result of `RecordsAfter` with at most `max_records`
-/// records. The reference is valid until the next call.
+/// Returns the packed result of `RecordsAfter` for a receiver that has the
+/// records up to change number `change`. The reference is valid until the next
+/// call.
 const PackedRecords& PackRecordsAfter(PackedContents& packed,
                                       const Registry& registry,
                                       std::uint64_t change,
                                       std::size_t max_records, TimePoint now);
 
-/// Replaces the packed fields of an update by the routes and records that they
-/// contain. Returns false when a field cannot be decoded; the update then
-/// contains neither routes nor records.
+/// Decodes the packed fields of an update into its routes and records and
+/// clears the packed fields. Returns false when a field cannot be decoded; all
+/// routes and records are then removed from the update.
 bool Unpack(wire::Update& update);
 
 }  // namespace filbertwall
--- a/Source/Distribution/RouteHistory.h
+++ b/Source/Distribution/RouteHistory.h
@@ -13,17 +13,19 @@
 /// Plain state and pure functions; not thread safe.
 namespace filbertwall {
 
-/// The serialized routes of one version, by IP address and port.
+/// The serialized routes of one rules version.
 struct RouteSet {
+  /// By IP address and port; the key is `ip << 16 | port`.
   std::map<std::uint64_t, std::string> routes;
 };
 
 struct RouteHistory {
+  /// By rules version.
   std::map<std::uint64_t, RouteSet> versions;
 };
 
-/// Adds the routes of a version and removes the oldest versions above the
-/// limit.
+/// Adds the routes of a rules version and removes the oldest versions, so that
+/// at most 12 remain.
 void AddVersion(RouteHistory& history, const Rules& rules);
 
 /// Returns the update from version `base` to the newest version: the difference
--- a/Source/Outcomes/Outcomes.cc
+++ b/Source/Outcomes/Outcomes.cc
@@ -7,29 +7,29 @@
 namespace {
 
 constexpr Milliseconds kHalfLife{2000};
-/// Fewer failures may be due to chance.
+/// A server with fewer recent failures is not failing; they may be due to
+/// chance.
 constexpr double kMinFailures = 2.5;
-/// The limit of the share of failures is at least this; retries by the callers
-/// cover a smaller share.
-constexpr double kMinLimit = 0.2;
-/// The limit is at most this, however often the other servers fail.
-constexpr double kMaxLimit = 0.6;
-/// Factor between the share of failures of the service's other servers and the
-/// limit.
-constexpr double kLimitFactor = 3.0;
-/// A suspect is cleared when its share of failures is below the limit times
-/// this factor, or its failures are below `kMinFailures` times the square of
-/// it.
+/// Lower bound of the threshold, the failure rate from which a server is
+/// failing. Retries by the callers compensate for lower failure rates.
+constexpr double kMinThreshold = 0.2;
+/// Upper bound of the threshold, however often the other servers fail.
+constexpr double kMaxThreshold = 0.6;
+/// Ratio of the threshold to the failure rate of the service's other servers.
+constexpr double kThresholdFactor = 3.0;
+/// A failing server is cleared when its failure rate is below the threshold
+/// times this factor, or its number of failures is below `kMinFailures` times
+/// the square of this factor.
 constexpr double kClearingFactor = 0.5;
-/// At most one in this many servers of a service is a suspect.
-constexpr std::size_t kMinServersPerSuspect = 3;
-/// Servers with fewer decayed flows are removed.
+/// At most one in this many servers of a service is marked as failing.
+constexpr std::size_t kMinServersPerFailingServer = 3;
+/// Servers are removed when their decayed number of flows is lower than this.
 constexpr double kNegligible = 0.05;
 
 struct Candidate {
   std::string id;
   OutcomeCounts counts;
-  double share = 0;
+  double failure_rate = 0;
 };
 
 OutcomeCounts Decay(const OutcomeCounts& counts, TimePoint now) {
@@ -43,38 +43,39 @@
 }
 
 /// Returns whether the number of failures is significantly higher than expected
-/// when each flow fails with probability `share`.
-bool IsSignificant(const OutcomeCounts& counts, double share) {
+/// when each flow fails with probability `failure_rate`.
+bool IsSignificant(const OutcomeCounts& counts, double failure_rate) {
   constexpr double kStandardDeviations = 3.0;
-  const double expected = share * (counts.served + counts.failed);
+  const double expected = failure_rate * (counts.served + counts.failed);
   return counts.failed >= expected + kStandardDeviations * std::sqrt(expected);
 }
 
-double ShareOf(double served, double failed) {
+double FailureRate(double served, double failed) {
   return served + failed > 0 ? failed / (served + failed) : 0;
 }
 
-/// Returns the share of failures of the service's other servers.
-double ShareOfOthers(const OutcomeCounts& service,
-                     const OutcomeCounts& counts) {
-  return ShareOf(service.served - counts.served,
-                 service.failed - counts.failed);
+/// Returns the failure rate of the service's other servers.
+double FailureRateOfOthers(const OutcomeCounts& service_total,
+                           const OutcomeCounts& counts) {
+  return FailureRate(service_total.served - counts.served,
+                     service_total.failed - counts.failed);
 }
 
-/// Returns whether a server is failing. A suspect gets few flows, so fewer
-/// failures suffice to keep it a suspect.
-bool IsFailing(const Candidate& candidate, const OutcomeCounts& service,
-               bool was_suspect) {
+/// Returns whether a server is failing. A server that already is gets few
+/// flows, so fewer failures suffice for it to stay marked.
+bool IsFailing(const Candidate& candidate, const OutcomeCounts& service_total,
+               bool was_failing) {
   const OutcomeCounts& counts = candidate.counts;
-  const double share_of_others = ShareOfOthers(service, counts);
-  const double limit =
-      std::clamp(kLimitFactor * share_of_others, kMinLimit, kMaxLimit);
-  if (was_suspect) {
-    return candidate.share >= limit * kClearingFactor &&
+  const double failure_rate_of_others =
+      FailureRateOfOthers(service_total, counts);
+  const double threshold = std::clamp(kThresholdFactor * failure_rate_of_others,
+                                      kMinThreshold, kMaxThreshold);
+  if (was_failing) {
+    return candidate.failure_rate >= threshold * kClearingFactor &&
            counts.failed >= kMinFailures * kClearingFactor * kClearingFactor;
   }
-  return candidate.share >= limit && counts.failed >= kMinFailures &&
-         IsSignificant(counts, share_of_others);
+  return candidate.failure_rate >= threshold && counts.failed >= kMinFailures &&
+         IsSignificant(counts, failure_rate_of_others);
 }
 
 }  // namespace
@@ -94,33 +95,34 @@
                                       : Decay(found->second, now);
 }
 
-std::set<std::string> FindFailing(const OutcomeLedger& stats,
-                                  const std::vector<std::string>& service,
-                                  const std::set<std::string>& suspects,
-                                  TimePoint now) {
+std::set<std::string> FindFailing(
+    const OutcomeLedger& stats, const std::vector<std::string>& server_ids,
+    const std::set<std::string>& previously_failing, TimePoint now) {
   std::vector<Candidate> candidates;
-  for (const std::string& id : service) {
+  for (const std::string& id : server_ids) {
     Candidate candidate{.id = id, .counts = CountsOf(stats, id, now)};
-    candidate.share = ShareOf(candidate.counts.served, candidate.counts.failed);
+    candidate.failure_rate =
+        FailureRate(candidate.counts.served, candidate.counts.failed);
     candidates.push_back(candidate);
   }
   std::sort(candidates.begin(), candidates.end(),
             [](const Candidate& left, const Candidate& right) {
-              return left.share < right.share;
+              return left.failure_rate < right.failure_rate;
             });
-  // Servers are examined from the highest share of failures to the lowest. Once
-  // the worst are suspects and get few flows, the total contains few of their
-  // failures, so that servers that fail less often exceed the limit next.
+  // Servers are examined in the order of descending failure rate. Servers with
+  // a lower rate may exceed the threshold only in a later call: once the worst
+  // are marked, they get few flows and add few failures to the total.
   OutcomeCounts total;
   for (const Candidate& candidate : candidates) {
     total.served += candidate.counts.served;
     total.failed += candidate.counts.failed;
   }
   std::set<std::string> failing;
-  const std::size_t max_failing = candidates.size() / kMinServersPerSuspect;
+  const std::size_t max_failing =
+      candidates.size() / kMinServersPerFailingServer;
   for (auto worst = candidates.rbegin();
        worst != candidates.rend() && failing.size() < max_failing; ++worst) {
-    if (IsFailing(*worst, total, suspects.contains(worst->id))) {
+    if (IsFailing(*worst, total, previously_failing.contains(worst->id))) {
       failing.insert(worst->id);
     }
   }
--- a/Source/Outcomes/Outcomes.h
+++ b/Source/Outcomes/Outcomes.h
@@ -11,18 +11,18 @@
 /// Outlier detection: finds backend servers whose flows fail more often than
 /// those of the other servers of the same service.
 ///
-/// A server may fail part of its requests while it reports that it is healthy,
-/// or work well while it reports the opposite, so the results that callers get
-/// decide. Each server is compared with the others of its service, so that a
-/// cause outside the servers (overload, a slow network) does not exclude any of
-/// them. Plain state and pure functions; not thread safe.
+/// What a server reports about its own health may be wrong in both directions,
+/// so the results that callers get are counted instead. Each server is compared
+/// with the others of its service, so that a cause outside the servers
+/// (overload, a slow network) does not exclude any of them. Plain state and
+/// pure functions; not thread safe.
 namespace filbertwall {
 
 /// Exponentially decaying counts of the flows of one server.
 struct OutcomeCounts {
   double served = 0;
   double failed = 0;
-  TimePoint at;  ///< Time to which the counts have decayed.
+  TimePoint at;  ///< The time for which the decayed counts are valid.
 };
 
 struct OutcomeLedger {
@@ -38,15 +38,15 @@
 OutcomeCounts CountsOf(const OutcomeLedger& stats, const std::string& server,
                        TimePoint now);
 
-/// Returns the ids of failing servers among `service`, the ids of all servers
-/// of one service: those that fail significantly more often than the others. At
-/// most a third of the servers are returned. `suspects` is the previous result:
-/// a server in it is returned until its share of failures is below half of the
-/// limit for new suspects or it has very few recent failures.
-std::set<std::string> FindFailing(const OutcomeLedger& stats,
-                                  const std::vector<std::string>& service,
-                                  const std::set<std::string>& suspects,
-                                  TimePoint now);
+/// Returns which servers of a service are failing: those whose failure rate is
+/// significantly higher than the rate of the others, at most a third of the
+/// servers. `server_ids` are all servers of the service. `previously_failing`
+/// is the previous result: such a server is returned again until its failure
+/// rate is below half of the threshold for the rest, or until it has very
+/// few recent failures.
+std::set<std::string> FindFailing(
+    const OutcomeLedger& stats, const std::vector<std::string>& server_ids,
+    const std::set<std::string>& previously_failing, TimePoint now);
 
 /// Removes servers whose counts have decayed to almost zero.
 void ForgetOutcomes(OutcomeLedger& stats, TimePoint now);
--- a/Source/Placement/Placement.cc
+++ b/Source/Placement/Placement.cc
@@ -16,9 +16,9 @@
 constexpr Milliseconds kMinAvoidance{300};
 constexpr Milliseconds kMaxAvoidance{2400};
 
-/// A data centre is considered unreachable after this many consecutive opening
-/// packets without an answer. One flow per `kDataCentreAvoidance` then probes
-/// it.
+/// A data centre is considered unreachable after this many consecutive
+/// unanswered opening packets. It then gets one new flow per
+/// `kDataCentreAvoidance` to detect when it is reachable again.
 constexpr std::uint32_t kUnansweredLimit = 3;
 constexpr Milliseconds kDataCentreAvoidance{1000};
 
@@ -40,9 +40,9 @@
   return average == 0 ? measured : average + weight * (measured - average);
 }
 
-/// Returns by how much the server's flows last longer than the mean of its
-/// service, as a fraction of that mean. This reveals load from other instances,
-/// whose flows this instance does not see.
+/// Returns the excess of the server's mean flow duration over the mean of its
+/// service, as a fraction of the latter. It shows the load that other instances
+/// put on the server, whose flows this instance does not see.
 double SlownessOf(const Placement& placement, const PlacedServer& server,
                   TimePoint now) {
   const double service_mean_ms =
@@ -80,10 +80,10 @@
 void Avoid(PlacedServer& server, TimePoint now) {
   constexpr std::uint32_t kMaxDoublings = 3;
   const std::uint32_t doublings =
-      std::min(server.avoidances_in_row, kMaxDoublings);
+      std::min(server.consecutive_avoidances, kMaxDoublings);
   server.avoid_until =
       now + std::min(kMaxAvoidance, kMinAvoidance * (1 << doublings));
-  server.avoidances_in_row += 1;
+  server.consecutive_avoidances += 1;
 }
 
 std::uint32_t InternDataCentre(Placement& placement, const std::string& name) {
@@ -98,12 +98,14 @@
   return index;
 }
 
-/// Returns a failing server for a small random part of the flows whose requests
-/// may be retried. Each failing server gets one in `kFlowsPerTrial` of the
-/// flows that it would get if it were not failing.
-std::optional<ServerIndex> ChooseTrial(Placement& placement,
-                                       const NewFlow& flow, TimePoint now) {
-  constexpr std::uint64_t kFlowsPerTrial = 12;
+/// Returns a failing server for a small random share of the flows whose
+/// requests may be retried, and otherwise no server. Each failing server gets
+/// one in `kFlowsPerProbe` of the flows that it would get if it were not
+/// failing.
+std::optional<ServerIndex> ChooseFailingServer(Placement& placement,
+                                               const NewFlow& flow,
+                                               TimePoint now) {
+  constexpr std::uint64_t kFlowsPerProbe = 12;
   const std::vector<ServerIndex>& failing =
       placement.failing_by_service[flow.service];
   const std::size_t usable = placement.usable_by_service[flow.service].size();
@@ -112,7 +114,7 @@
   }
   const std::uint64_t draw =
       MixHash(placement.config.seed, placement.draw_count++) %
-      (kFlowsPerTrial * usable);
+      (kFlowsPerProbe * usable);
   if (draw >= failing.size() ||
       IsAvoided(placement.servers[failing[draw]], now)) {
     return std::nullopt;
@@ -121,7 +123,7 @@
 }
 
 bool SeemsUnreachable(const PlacedDataCentre& data_centre) {
-  return data_centre.unanswered_in_row >= kUnansweredLimit;
+  return data_centre.consecutive_unanswered >= kUnansweredLimit;
 }
 
 }  // namespace
@@ -169,10 +171,11 @@
   }
   PlacedServer& server = placement.servers[position->second];
   if (record.incarnation() != server.incarnation) {
-    // The server has restarted and has none of its previous flows.
+    // The server has restarted and has none of its previous flows, so its
+    // pending openings, avoidance and durations do not apply any more.
     server.incarnation = record.incarnation();
     server.pending_openings = 0;
-    server.avoidances_in_row = 0;
+    server.consecutive_avoidances = 0;
     server.avoid_until = {};
     server.mean_duration_ms = 0;
   }
@@ -224,14 +227,16 @@
   if (candidates.empty()) {
     return std::nullopt;
   }
-  if (const auto trial = ChooseTrial(placement, flow, now)) {
-    return trial;
+  if (const auto failing = ChooseFailingServer(placement, flow, now)) {
+    return failing;
   }
   std::optional<ServerIndex> best;
   double best_cost = std::numeric_limits<double>::infinity();
-  // A server that seems unreachable is chosen only when there is no other.
+  // These costs are far above the costs of load. A server that seems
+  // unreachable, has not answered this flow, or is failing is chosen only when
+  // there is no better one.
   constexpr double kAvoidedCost = 1000;
-  constexpr double kExceptCost = 500;
+  constexpr double kUnansweredServerCost = 500;
   constexpr double kFailingCost = 100;
   const std::size_t start =
       MixHash(placement.config.seed, placement.draw_count++) %
@@ -245,7 +250,7 @@
                         (IsAvoided(server, now) ? kAvoidedCost : 0) +
                         (now < data_centre.avoid_until ? kAvoidedCost : 0) +
                         (server.failing ? kFailingCost : 0) +
-                        (flow.except == index ? kExceptCost : 0);
+                        (flow.except == index ? kUnansweredServerCost : 0);
     if (cost < best_cost) {
       best = index;
       best_cost = cost;
@@ -279,19 +284,19 @@
 void NoteAnswered(Placement& placement, ServerIndex index, TimePoint now) {
   PlacedServer& server = placement.servers[index];
   PlacedDataCentre& data_centre = placement.data_centres[server.data_centre];
-  data_centre.unanswered_in_row = 0;
+  data_centre.consecutive_unanswered = 0;
   data_centre.avoid_until = {};
   server.pending_openings -= server.pending_openings > 0 ? 1 : 0;
   server.pending_since = now;
   server.answered_at = now;
-  server.avoidances_in_row = 0;
+  server.consecutive_avoidances = 0;
   server.avoid_until = {};
 }
 
 void NoteUnanswered(Placement& placement, ServerIndex index, TimePoint now) {
   PlacedServer& server = placement.servers[index];
   PlacedDataCentre& data_centre = placement.data_centres[server.data_centre];
-  data_centre.unanswered_in_row += 1;
+  data_centre.consecutive_unanswered += 1;
   if (SeemsUnreachable(data_centre)) {
     data_centre.avoid_until = now + kDataCentreAvoidance;
   }
--- a/Source/Placement/Placement.h
+++ b/Source/Placement/Placement.h
@@ -26,31 +26,34 @@
   std::string id;
   /// `NumberOf(id)`; written to the header of forwarded datagrams.
   std::uint64_t number = 0;
-  /// Identifies the server in the packets of its flows; the low bits of
+  /// Identifies the server in each packet of its flows; the low 32 bits of
   /// `number`.
   std::uint32_t token = 0;
   Endpoint address;
   ServiceIndex service = 0;
   std::uint32_t data_centre = 0;  ///< Index into `data_centres`.
-  std::uint32_t slots = 1;
-  std::uint64_t incarnation = 0;
-  bool local = false;   ///< In the data centre of this instance.
-  bool usable = false;  ///< Ready and not silent.
+  std::uint32_t slots = 1;        ///< Requests that it can process at a time.
+  std::uint64_t incarnation = 0;  ///< Higher after each start of the server.
+  bool local = false;             ///< In the data centre of this instance.
+  bool usable = false;            ///< Ready and not silent.
   /// Fails a larger share of its requests than the other servers of its
   /// service.
   bool failing = false;
   TimePoint warmup_ends_at;  ///< The server is slower until this time.
 
   std::uint32_t in_flight = 0;  ///< Flows of this instance.
-  /// Opening packets sent to the server whose flows are not yet accepted.
+  /// Opening packets sent to the server for which it is not yet known whether
+  /// the server accepts the flow.
   std::uint32_t pending_openings = 0;
-  /// When the first pending opening packet was sent, or when the server
-  /// accepted a flow after that.
+  /// The later of two times: when the first pending opening packet was sent,
+  /// and when the server last accepted a flow.
   TimePoint pending_since;
   TimePoint answered_at;  ///< When the server last accepted a flow.
-  TimePoint avoid_until;  ///< Used before this time only without alternative.
-  /// Number of avoidance periods since the server last accepted a flow.
-  std::uint32_t avoidances_in_row = 0;
+  /// Until this time the server is chosen only when there is no other.
+  TimePoint avoid_until;
+  /// How often `avoid_until` was set since the server last accepted a flow. The
+  /// period of avoidance doubles with it, up to a limit.
+  std::uint32_t consecutive_avoidances = 0;
   /// Moving average of flow durations; 0 when there is no measurement.
   double mean_duration_ms = 0;
   TimePoint duration_updated_at;
@@ -59,16 +62,16 @@
 /// The state of a data centre at one entry instance.
 struct PlacedDataCentre {
   std::string name;
-  /// Unanswered opening packets to all its servers since the last accepted
-  /// flow.
-  std::uint32_t unanswered_in_row = 0;
-  /// Servers there are used before this time only without alternative.
+  /// Unanswered opening packets to its servers since one of them last accepted
+  /// a flow.
+  std::uint32_t consecutive_unanswered = 0;
+  /// Until this time its servers are chosen only when there is no other.
   TimePoint avoid_until;
 };
 
 struct PlacementConfig {
-  std::string data_centre;
-  std::uint64_t seed = 0;  ///< Must differ between instances.
+  std::string data_centre;  ///< Of this instance.
+  std::uint64_t seed = 0;   ///< Must differ between instances.
 };
 
 struct Placement {
@@ -115,9 +118,9 @@
 };
 
 /// Returns the server for a new flow; empty when the service has no usable
-/// server. `flow.except` is chosen only without a better alternative. A failing
-/// server still gets a few flows whose requests may be retried, so that its
-/// recovery can be detected.
+/// server. `flow.except` is chosen only when all other servers are avoided. A
+/// failing server still gets a few flows whose requests may be retried, so that
+/// its recovery can be detected.
 std::optional<ServerIndex> ChooseServer(Placement& placement,
                                         const NewFlow& flow, TimePoint now);
 
--- a/Source/Registry/Registry.cc
+++ b/Source/Registry/Registry.cc
@@ -9,7 +9,7 @@
 constexpr std::uint32_t kMaxSlots = 100000;
 constexpr std::size_t kMaxNameBytes = 200;
 
-/// Returns whether `next` replaces `known`.
+/// Returns whether `next` takes precedence over `known`.
 bool Supersedes(const wire::ServerRecord& next,
                 const wire::ServerRecord& known) {
   if (next.incarnation() != known.incarnation()) {
@@ -36,7 +36,7 @@
   return !same;
 }
 
-/// Assigns the next registry change to the server.
+/// Gives the server the next change number, after a change of its record.
 void AssignNextChange(Registry& registry, const std::string& id,
                       Server& server) {
   registry.ids_by_change.erase(server.change);
@@ -85,8 +85,8 @@
   }
   const bool differs = added || Differs(record, server.record);
   if (!differs) {
-    // The sequence number is kept to reject older reports. Other instances do
-    // not need it.
+    // The sequence number is stored so that older reports are rejected. Other
+    // instances do not need it.
     server.record.set_sequence(record.sequence());
     return false;
   }
--- a/Source/Registry/Registry.h
+++ b/Source/Registry/Registry.h
@@ -9,7 +9,8 @@
 #include "Base/Time.h"
 #include "Wire/registry.pb.h"
 
-/// The backend servers known to an instance, each by its id and incarnation.
+/// The backend servers known to an instance. Each start of a server is a new
+/// incarnation with a higher number.
 ///
 /// Merging records gives the same result in any order: the later incarnation
 /// takes precedence, then the higher sequence number. An incarnation whose
@@ -20,42 +21,47 @@
 /// The latest incarnation of a backend server.
 struct Server {
   wire::ServerRecord record;
-  TimePoint updated_at;      ///< When the record was last replaced.
-  TimePoint heard_at;        ///< Last report to any control instance.
-  TimePoint reported_at;     ///< Last report to this control instance.
-  std::uint64_t change = 0;  ///< Registry change that last modified the record.
+  TimePoint updated_at;   ///< When the record was last replaced.
+  TimePoint heard_at;     ///< Last report to any control instance.
+  TimePoint reported_at;  ///< Last report to this control instance.
+  /// Number of the registry change that last modified the record.
+  std::uint64_t change = 0;
 };
 
 struct Registry {
   std::map<std::string, Server> servers;  ///< By id.
-  std::uint64_t change = 0;  ///< Incremented with each change of a record.
-  /// Server ids by `Server::change`. Finds the records after a given change
-  /// without a scan of all servers.
+  /// Number of the latest change; incremented whenever a record is modified.
+  std::uint64_t change = 0;
+  /// Server ids by `Server::change`: an index that finds the records modified
+  /// after a given change.
   std::map<std::uint64_t, std::string> ids_by_change;
 };
 
-/// Records in the order of their last change.
+/// Records, ordered by the change that last modified them.
 struct RecordBatch {
   std::vector<wire::ServerRecord> records;
-  /// Every record up to this change is in this batch or an earlier one.
+  /// Number of the last change that this batch covers. The next batch starts
+  /// after it.
   std::uint64_t change = 0;
-  bool complete = true;  ///< No records follow this batch.
+  bool complete = true;  ///< This is the last batch.
 };
 
 /// Returns a description of the first error in a record; empty when the record
 /// is valid.
 std::string CheckRecord(const wire::ServerRecord& record);
 
-/// Merges a record. Returns false when nothing changes that other instances
-/// must know; only `heard_at` and the sequence number may be updated then.
+/// Merges a record. Returns whether a field has changed that other instances
+/// must know. If not, at most `heard_at` and the sequence number are updated.
 /// Precondition: `CheckRecord` returns an empty string.
 bool MergeRecord(Registry& registry, const wire::ServerRecord& record,
                  TimePoint now);
 
-/// Records that a server reported to another control instance.
+/// Records that a server reported to another control instance, and clears its
+/// silent mark. Ignores unknown ids.
 void NoteHeard(Registry& registry, const std::string& id, TimePoint now);
 
-/// Records whether a server fails requests of its callers. Ignores unknown ids.
+/// Marks a server as failing or clears the mark. A server is failing when too
+/// many of its flows fail. Ignores unknown ids.
 void SetFailing(Registry& registry, const std::string& id, bool failing);
 
 /// Sets `failing` of a received record to the value in this registry, or to
@@ -68,11 +74,12 @@
 /// longer than `limit`. Returns the number of servers marked by this call.
 std::size_t MarkSilent(Registry& registry, Milliseconds limit, TimePoint now);
 
-/// Removes servers that have been gone or silent for longer than `limit`.
+/// Removes servers that are gone or silent and whose last report or update is
+/// older than `limit`.
 void ForgetGone(Registry& registry, Milliseconds limit, TimePoint now);
 
-/// Returns the first `max_records` records that changed after `change`, with
-/// the warm-up time that remains at `now`.
+/// Returns the first `max_records` records that were modified after change
+/// number `change`. Their warm-up time is the time that remains at `now`.
 RecordBatch RecordsAfter(const Registry& registry, std::uint64_t change,
                          std::size_t max_records, TimePoint now);
 
--- a/Tests/Admission/AdmissionTest.cc
+++ b/Tests/Admission/AdmissionTest.cc
@@ -24,10 +24,10 @@
   }
 }
 
-/// Records one flow end per millisecond for `time`, each with `duration`, and
-/// keeps the matching number of flows in flight. Returns the time after that.
-TimePoint ServeFlows(Admission& admission, Milliseconds duration,
-                     Milliseconds time, TimePoint now) {
+/// Simulates flows of the given duration for `time`: one ends per millisecond,
+/// and as many are in flight as follow from Little's law. Returns the end time.
+TimePoint SimulateFlows(Admission& admission, Milliseconds duration,
+                        Milliseconds time, TimePoint now) {
   SetInFlight(admission, static_cast<std::uint32_t>(duration.count()));
   for (Milliseconds passed{0}; passed < time; passed += Milliseconds(1)) {
     now += Milliseconds(1);
@@ -47,7 +47,8 @@
   return admitted / kCallers;
 }
 
-/// Returns the requests answered in time as a share of what was possible.
+/// Returns the number of requests answered in time, divided by the number that
+/// the servers could have answered.
 double InTimeShare(const OverloadOutcome& outcome) {
   return outcome.in_time / std::min<double>(outcome.capacity, outcome.asked);
 }
@@ -62,7 +63,7 @@
 TEST(Admission, AdmitsAllWithoutMeasurements) {
   Admission admission;
   DOUBLES_EQUAL(1, ShareAdmitted(admission, true, kStart), 0);
-  // Flows in flight alone do not show a queue while none has ended.
+  // As long as no flow has ended, flows in flight do not indicate a queue.
   for (int i = 0; i < 500; ++i) {
     NoteBegun(admission, 0);
   }
@@ -72,7 +73,7 @@
 TEST(Admission, AdmitsAllWhileAnswersAreInTime) {
   Admission admission;
   const TimePoint now =
-      ServeFlows(admission, Milliseconds(35), Milliseconds(500), kStart);
+      SimulateFlows(admission, Milliseconds(35), Milliseconds(500), kStart);
   for (int i = 0; i < 500; ++i) {
     NoteBegun(admission, 0);
   }
@@ -82,7 +83,7 @@
 TEST(Admission, RefusesRetryableRequestsFirst) {
   Admission admission;
   const TimePoint now =
-      ServeFlows(admission, Milliseconds(52), Milliseconds(1500), kStart);
+      SimulateFlows(admission, Milliseconds(52), Milliseconds(1500), kStart);
   const double share = ShareAdmitted(admission, true, now);
   CHECK(share > 0 && share < 1);
   DOUBLES_EQUAL(1, ShareAdmitted(admission, false, now), 0);
@@ -91,7 +92,7 @@
 TEST(Admission, ExpectsMoreSlownessAsFlowsInFlightIncrease) {
   Admission admission;
   const TimePoint now =
-      ServeFlows(admission, Milliseconds(46), Milliseconds(500), kStart);
+      SimulateFlows(admission, Milliseconds(46), Milliseconds(500), kStart);
   const double before = ExpectedSlowness(admission, 0, now);
   for (int i = 0; i < 90; ++i) {
     NoteBegun(admission, 0);
@@ -103,8 +104,8 @@
   Admission one;
   Admission other;
   const TimePoint now =
-      ServeFlows(one, Milliseconds(52), Milliseconds(1500), kStart);
-  ServeFlows(other, Milliseconds(52), Milliseconds(1500), kStart);
+      SimulateFlows(one, Milliseconds(52), Milliseconds(1500), kStart);
+  SimulateFlows(other, Milliseconds(52), Milliseconds(1500), kStart);
   bool next_round_differs = false;
   for (std::uint32_t caller = 0; caller < kCallers; ++caller) {
     one.round = 1;
@@ -122,7 +123,7 @@
 TEST(Admission, AdmitsAllWithoutFlowsInFlight) {
   Admission admission;
   const TimePoint now =
-      ServeFlows(admission, Milliseconds(140), Milliseconds(500), kStart);
+      SimulateFlows(admission, Milliseconds(140), Milliseconds(500), kStart);
   SetInFlight(admission, 0);
   DOUBLES_EQUAL(1, ShareAdmitted(admission, true, now), 0);
 }
@@ -130,7 +131,7 @@
 TEST(Admission, AdmitsAllSoonAfterFlowsInFlightDecrease) {
   Admission admission;
   const TimePoint now =
-      ServeFlows(admission, Milliseconds(140), Milliseconds(500), kStart);
+      SimulateFlows(admission, Milliseconds(140), Milliseconds(500), kStart);
   SetInFlight(admission, 5);
   DOUBLES_EQUAL(1, ShareAdmitted(admission, true, now), 0);
 }
@@ -138,7 +139,7 @@
 TEST(Admission, SlownessDecaysWhenNoFlowEnds) {
   Admission admission;
   const TimePoint now =
-      ServeFlows(admission, Milliseconds(140), Milliseconds(500), kStart);
+      SimulateFlows(admission, Milliseconds(140), Milliseconds(500), kStart);
   CHECK(ShareAdmitted(admission, true, now) < 0.1);
   DOUBLES_EQUAL(1, ShareAdmitted(admission, true, now + Milliseconds(400)), 0);
 }
@@ -146,7 +147,7 @@
 TEST(Admission, IgnoresOutdatedAndDiscardedMeasurements) {
   Admission admission;
   const TimePoint now =
-      ServeFlows(admission, Milliseconds(140), Milliseconds(500), kStart);
+      SimulateFlows(admission, Milliseconds(140), Milliseconds(500), kStart);
   CHECK(ShareAdmitted(admission, true, now) < 0.1);
   DOUBLES_EQUAL(
       1, ShareAdmitted(admission, true, now + std::chrono::seconds(2)), 0);
@@ -157,16 +158,16 @@
 TEST(Admission, AdmitsAllWithin200MillisecondsAfterTheOverload) {
   Admission admission;
   TimePoint now =
-      ServeFlows(admission, Milliseconds(140), Milliseconds(500), kStart);
+      SimulateFlows(admission, Milliseconds(140), Milliseconds(500), kStart);
   CHECK(ShareAdmitted(admission, true, now) < 0.1);
-  now = ServeFlows(admission, Milliseconds(35), Milliseconds(200), now);
+  now = SimulateFlows(admission, Milliseconds(35), Milliseconds(200), now);
   DOUBLES_EQUAL(1, ShareAdmitted(admission, true, now), 0);
 }
 
 TEST(Admission, ServicesAreIndependent) {
   Admission admission;
   const TimePoint now =
-      ServeFlows(admission, Milliseconds(140), Milliseconds(500), kStart);
+      SimulateFlows(admission, Milliseconds(140), Milliseconds(500), kStart);
   CHECK(Admit(admission, {.service = 1, .repeatable = true}, now));
 }
 
--- a/Tests/Admission/OverloadTargetTest.cc
+++ b/Tests/Admission/OverloadTargetTest.cc
@@ -7,8 +7,8 @@
 using namespace filbertwall;
 
 /// The target of admission control: 90 % of the requests that the servers can
-/// process are answered in time, and 95 % of the orders while the orders alone
-/// do not exceed the capacity.
+/// process are answered in time, and 95 % of the orders (requests that must not
+/// be retried) while the orders alone do not exceed the capacity.
 TEST_GROUP(OverloadTarget){};
 
 TEST(OverloadTarget, AnswersNineTenthsOfCapacityInTime) {
