--- a/Source/Registry/Registry.h
+++ b/Source/Registry/Registry.h
@@ -30,7 +30,8 @@
 
 struct Registry {
   std::map<std::string, Server> servers;  ///< By id.
-  /// Number of the latest change; incremented whenever a record is modified.
+  /// Number of the latest change. Incremented whenever a record changes in a
+  /// field that other instances must know.
   std::uint64_t change = 0;
   /// Server ids by `Server::change`: an index that finds the records modified
   /// after a given change.
