--- a/Source/Fleet/Calls.h
+++ b/Source/Fleet/Calls.h
@@ -55,18 +55,22 @@
 
 /// Parses and writes the deployment's packets. All are pure functions.
 struct PacketCodec {
-  /// Parses a caller's packet. Returns false when the bytes are not one.
+  /// Parses a caller's packet. Returns false when `bytes` is not a valid
+  /// packet.
   bool (*parse)(std::span<const std::uint8_t> bytes, FlowPacket& packet);
   /// Writes the token into a packet that `parse` has accepted.
   void (*stamp)(std::span<std::uint8_t> bytes, std::uint32_t token);
-  /// Writes the header that precedes a packet to a server. Returns its length.
+  /// Writes the header that is placed before a packet sent to a backend
+  /// server. Returns its length.
   std::size_t (*write_head)(std::uint64_t server_number,
                             std::span<std::uint8_t> out);
-  /// Writes a packet that resets the flow of `bytes`. Returns its length.
+  /// Writes a packet that resets the flow to which the received packet `bytes`
+  /// belongs. Returns its length.
   std::size_t (*write_reset)(std::span<const std::uint8_t> bytes,
                              std::span<std::uint8_t> out);
 };
 
+/// The adapter of one deployment.
 struct FleetAdapter {
   CallTranslator calls;
   PacketCodec packets;
--- a/Source/Fleet/ControlTurn.h
+++ b/Source/Fleet/ControlContext.h
@@ -16,37 +16,37 @@
 /// considers its registry complete: each backend server has reported by then.
 inline constexpr int kIntervalsUntilSettled = 2;
 
-/// Context of one reducer call.
-struct ControlTurn {
+/// The event being handled: state, time and the effects so far.
+struct ControlContext {
   ControlInstance& instance;
   TimePoint now;
   std::vector<ControlInstanceEffect>& effects;
 };
 
-void Log(ControlTurn& turn, EventId id, const std::string& text,
+void Log(ControlContext& context, EventId id, const std::string& text,
          Severity severity = Severity::kInfo);
-void Answer(ControlTurn& turn, AnswerCall answer);
+void Answer(ControlContext& context, AnswerCall answer);
 /// Applies an event to the replica and handles the effects. Does nothing while
 /// the disk has failed.
-void RunReplica(ControlTurn& turn, const ControlEvent& event);
+void RunReplica(ControlContext& context, const ControlEvent& event);
 
 /// Returns the leader to which a call can be redirected: another instance from
 /// which a heartbeat arrived recently. Returns 0 when there is none.
-InstanceAddress RedirectTarget(const ControlTurn& turn);
+InstanceAddress RedirectTarget(const ControlContext& context);
 
 /// Sends updates to all subscribers that lack changes.
-void PushUpdates(ControlTurn& turn);
+void PushUpdates(ControlContext& context);
 /// Schedules `PushUpdates` after a short delay, to batch changes.
-void SchedulePush(ControlTurn& turn);
-/// Sends updates to the subscribed control instances without delay: one of them
-/// must have the record of a server that is not ready before the server's
-/// report is answered.
-void PushToControlInstances(ControlTurn& turn);
-/// Sends a summary, without contents, to all entry instances that are active
-/// subscribers and, shortly after a start, to those that were subscribers
-/// before it.
-void SendSummaryToFollowers(ControlTurn& turn);
-/// Returns the entry instances that subscribed recently.
+void SchedulePush(ControlContext& context);
+/// Sends updates to the subscribed control instances without delay. The report
+/// of a server that is not ready is answered only after one of them has
+/// confirmed the server's record.
+void PushToControlInstances(ControlContext& context);
+/// Sends a summary, without contents, to the active followers and, shortly
+/// after a start, also to those saved before it.
+void SendSummaryToFollowers(ControlContext& context);
+/// Returns the followers, which are the entry instances that subscribed here
+/// recently.
 std::set<InstanceAddress> ActiveFollowers(const ControlInstance& instance,
                                           TimePoint now);
 /// Returns the other known control instances. Includes non-voters, since
@@ -54,33 +54,36 @@
 std::set<InstanceAddress> OtherControlInstances(const ControlInstance& instance,
                                                 TimePoint now);
 /// Requests records and knowledge from the other control instances.
-void SubscribeToOthers(ControlTurn& turn);
-void HandleSubscribe(ControlTurn& turn, InstanceAddress from,
+void SubscribeToOthers(ControlContext& context);
+void HandleSubscribe(ControlContext& context, InstanceAddress from,
                      const wire::Subscribe& subscribe);
-/// Answers queued requests of entry instances, as many as the queue allows.
-void AnswerFollowerRequests(ControlTurn& turn);
-void HandleUpdate(ControlTurn& turn, InstanceAddress from,
+/// Answers as many queued requests of entry instances as the budget of the
+/// queue allows.
+void AnswerFollowerRequests(ControlContext& context);
+void HandleUpdate(ControlContext& context, InstanceAddress from,
                   const wire::Update& update);
 
-void LogServer(ControlTurn& turn, const wire::ServerRecord& record,
+/// Logs a changed record. `source` is the control instance that sent it, or
+/// "itself" for a report of the server.
+void LogServer(ControlContext& context, const wire::ServerRecord& record,
                const std::string& source);
-void HandleReport(ControlTurn& turn, const ServerReported& event);
+void HandleReport(ControlContext& context, const ServerReported& event);
 /// Answers the reports that another control instance has confirmed, and those
 /// that expired.
-void AnswerPendingReports(ControlTurn& turn);
+void AnswerPendingReports(ControlContext& context);
 
 /// Adds flow outcomes received from an entry instance or another control
 /// instance.
-void HandleOutcomes(ControlTurn& turn, const wire::Outcomes& outcomes);
+void HandleOutcomes(ControlContext& context, const wire::Outcomes& outcomes);
 /// When due, forwards outcomes to the other control instances and updates which
 /// servers are marked as failing.
-void ProcessOutcomes(ControlTurn& turn);
+void ProcessOutcomes(ControlContext& context);
 
-void HandleSubmitted(ControlTurn& turn, const RulesSubmitted& event);
-void HandleRead(ControlTurn& turn, const RulesRead& event);
-void HandleVerdict(ControlTurn& turn, const ControlVerdict& verdict);
+void HandleSubmitted(ControlContext& context, const RulesSubmitted& event);
+void HandleRead(ControlContext& context, const RulesRead& event);
+void HandleVerdict(ControlContext& context, const ControlVerdict& verdict);
 /// Retries the submissions that wait for a leader and answers expired ones as
 /// unavailable.
-void RetrySubmissions(ControlTurn& turn);
+void RetrySubmissions(ControlContext& context);
 
 }  // namespace filbertwall
--- a/Source/Fleet/ControlInstance.cc
+++ b/Source/Fleet/ControlInstance.cc
@@ -4,7 +4,7 @@
 
 #include "Base/Endpoint.h"
 #include "Base/Hash.h"
-#include "Fleet/ControlTurn.h"
+#include "Fleet/ControlContext.h"
 #include "Rules/RulesParser.h"
 
 namespace filbertwall {
@@ -14,17 +14,20 @@
 /// A call is redirected only to a leader whose last heartbeat is at most this
 /// old.
 constexpr Milliseconds kRedirectMaxSilence{600};
+/// How long gone servers and subscribers without requests are kept.
 constexpr Milliseconds kGoneRetention{90000};
 constexpr Milliseconds kSaveInterval{1000};
 constexpr Milliseconds kLease{600};
-constexpr Milliseconds kRestartWait{250};
-constexpr Milliseconds kElectionSpread{250};
+constexpr Milliseconds kRestartVoteDelay{250};
+constexpr Milliseconds kElectionJitter{250};
+/// Number of report intervals without a report after which a server is silent.
 constexpr int kIntervalsUntilSilent = 5;
-/// Applies even if no disk loss has to be tolerated.
+/// Lower limit of the number of voters, also if no disk loss has to be
+/// tolerated.
 constexpr std::uint32_t kMinVoters = 3;
 
-void ApplyCommittedRules(ControlTurn& turn) {
-  ControlInstance& instance = turn.instance;
+void ApplyCommittedRules(ControlContext& context) {
+  ControlInstance& instance = context.instance;
   const wire::RulesFile& file = instance.replica.committed.rules();
   const bool known =
       !instance.history.versions.empty() &&
@@ -34,39 +37,42 @@
   }
   const ParsedRules parsed = ParseRules(file.text(), "rules");
   if (!parsed.findings.empty()) {
-    // Only valid files are proposed, so a different build accepted this one.
-    Log(turn, EventId::kRulesUnreadable,
+    // Only files that the proposer can parse are proposed, so an instance of
+    // another build has proposed this one.
+    Log(context, EventId::kRulesUnreadable,
         "version=" + std::to_string(file.version()) + " " +
             FormatFinding(parsed.findings.front()),
         Severity::kError);
     return;
   }
   AddVersion(instance.history, parsed.rules);
-  Log(turn, EventId::kRulesInForce,
+  Log(context, EventId::kRulesInForce,
       "version=" + std::to_string(file.version()) +
           " seq=" + std::to_string(instance.replica.committed.seq()));
-  PushUpdates(turn);
+  PushUpdates(context);
 }
 
 struct ReplicaVisitor {
-  ControlTurn& turn;
+  ControlContext& context;
   void operator()(const ControlSend& effect) {
     wire::FleetMessage message;
     *message.mutable_control() = effect.message;
-    this->turn.effects.emplace_back(
+    this->context.effects.emplace_back(
         SendMessage{.to = effect.to, .message = std::move(message)});
   }
   void operator()(const ControlPersist& effect) {
-    this->turn.effects.emplace_back(PersistRecord{.record = effect.record});
+    this->context.effects.emplace_back(PersistRecord{.record = effect.record});
+  }
+  void operator()(const ControlAdvanced&) {
+    ApplyCommittedRules(this->context);
   }
-  void operator()(const ControlAdvanced&) { ApplyCommittedRules(this->turn); }
   void operator()(const ControlVerdict& effect) {
-    HandleVerdict(this->turn, effect);
+    HandleVerdict(this->context, effect);
   }
 };
 
-void LogLeadership(ControlTurn& turn, ReplicaRole before) {
-  const Replica& replica = turn.instance.replica;
+void LogLeadership(ControlContext& context, ReplicaRole before) {
+  const Replica& replica = context.instance.replica;
   if (before == replica.role) {
     return;
   }
@@ -75,10 +81,10 @@
       " members=" + std::to_string(replica.committed.members_size()) +
       " seq=" + std::to_string(replica.committed.seq());
   if (replica.role == ReplicaRole::kLeader) {
-    turn.instance.counters.elections_won += 1;
-    Log(turn, EventId::kLeaderElected, text);
+    context.instance.counters.elections_won += 1;
+    Log(context, EventId::kLeaderElected, text);
   } else if (before == ReplicaRole::kLeader) {
-    Log(turn, EventId::kLeadershipLost, text, Severity::kWarning);
+    Log(context, EventId::kLeadershipLost, text, Severity::kWarning);
   }
 }
 
@@ -91,25 +97,26 @@
   return text;
 }
 
-void LogVoters(ControlTurn& turn) {
-  const wire::ControlState& state = turn.instance.replica.committed;
+void LogVoters(ControlContext& context) {
+  const wire::ControlState& state = context.instance.replica.committed;
   std::string voters = FormatVoters(state);
-  if (voters == turn.instance.logged_voters) {
+  if (voters == context.instance.logged_voters) {
     return;
   }
-  Log(turn, EventId::kVotersChanged,
-      "voters=" + voters + " before=" + turn.instance.logged_voters +
+  Log(context, EventId::kVotersChanged,
+      "voters=" + voters + " before=" + context.instance.logged_voters +
           " seq=" + std::to_string(state.seq()));
-  turn.instance.logged_voters = std::move(voters);
+  context.instance.logged_voters = std::move(voters);
 }
 
 /// Restores the saved registry with report times in the past, so that servers
 /// that do not report again soon are marked silent.
-void RestoreRegistry(ControlTurn& turn, const wire::SavedRegistry& saved) {
-  ControlInstance& instance = turn.instance;
+void RestoreRegistry(ControlContext& context,
+                     const wire::SavedRegistry& saved) {
+  ControlInstance& instance = context.instance;
   const TimePoint reported_at =
-      turn.now - instance.config.announce_interval *
-                     (kIntervalsUntilSilent - kIntervalsUntilSettled);
+      context.now - instance.config.announce_interval *
+                        (kIntervalsUntilSilent - kIntervalsUntilSettled);
   for (wire::ServerRecord record : saved.servers()) {
     record.set_failing(false);  // Flow outcomes are not saved.
     if (CheckRecord(record).empty()) {
@@ -121,22 +128,23 @@
                                      saved.followers().end());
   instance.saved_followers = instance.previous_followers;
   for (const InstanceAddress other : saved.control_instances()) {
-    instance.sources[other].heard_at = turn.now;
+    instance.sources[other].heard_at = context.now;
     instance.saved_control_instances.insert(other);
   }
   instance.saved_change = instance.registry.change;
 }
 
-void SaveServers(ControlTurn& turn) {
-  ControlInstance& instance = turn.instance;
-  instance.save_at = turn.now + kSaveInterval;
-  std::set<InstanceAddress> followers = ActiveFollowers(instance, turn.now);
-  // A set that has only shrunk is not saved: after a start, followers need time
-  // to find this instance again.
+void SaveServers(ControlContext& context) {
+  ControlInstance& instance = context.instance;
+  instance.next_save_at = context.now + kSaveInterval;
+  std::set<InstanceAddress> followers = ActiveFollowers(instance, context.now);
+  // A set that has only shrunk is not saved: shortly after a start, few
+  // followers have subscribed again, and the saved ones are still notified.
   const bool no_new_follower = std::includes(
       instance.saved_followers.begin(), instance.saved_followers.end(),
       followers.begin(), followers.end());
-  std::set<InstanceAddress> others = OtherControlInstances(instance, turn.now);
+  std::set<InstanceAddress> others =
+      OtherControlInstances(instance, context.now);
   const bool unchanged = instance.saved_change == instance.registry.change &&
                          instance.saved_control_instances == others;
   if (unchanged && no_new_follower) {
@@ -153,152 +161,153 @@
   }
   instance.saved_control_instances = std::move(others);
   RecordBatch all = RecordsAfter(instance.registry, 0,
-                                 instance.registry.servers.size(), turn.now);
+                                 instance.registry.servers.size(), context.now);
   for (wire::ServerRecord& record : all.records) {
     *effect.saved.add_servers() = std::move(record);
   }
-  turn.effects.emplace_back(std::move(effect));
+  context.effects.emplace_back(std::move(effect));
 }
 
-void HandleDue(ControlTurn& turn) {
-  ControlInstance& instance = turn.instance;
-  RunReplica(turn, ControlTick{});
-  if (turn.now >= instance.subscribe_at) {
-    SubscribeToOthers(turn);
-  }
-  if (turn.now >= instance.push_at) {
-    PushUpdates(turn);
-  }
-  AnswerFollowerRequests(turn);
-  RetrySubmissions(turn);
-  AnswerPendingReports(turn);
-  ProcessOutcomes(turn);
-  if (turn.now >= instance.save_at) {
-    SaveServers(turn);
-  }
-  if (turn.now < instance.housekeeping_at) {
+void HandleTick(ControlContext& context) {
+  ControlInstance& instance = context.instance;
+  RunReplica(context, ControlTick{});
+  if (context.now >= instance.next_subscribe_at) {
+    SubscribeToOthers(context);
+  }
+  if (context.now >= instance.next_push_at) {
+    PushUpdates(context);
+  }
+  AnswerFollowerRequests(context);
+  RetrySubmissions(context);
+  AnswerPendingReports(context);
+  ProcessOutcomes(context);
+  if (context.now >= instance.next_save_at) {
+    SaveServers(context);
+  }
+  if (context.now < instance.next_housekeeping_at) {
     return;
   }
-  instance.housekeeping_at = turn.now + kHousekeepingInterval;
+  instance.next_housekeeping_at = context.now + kHousekeepingInterval;
   const Milliseconds silence =
       instance.config.announce_interval * kIntervalsUntilSilent;
-  if (MarkSilent(instance.registry, silence, turn.now) > 0) {
-    SchedulePush(turn);
+  if (MarkSilent(instance.registry, silence, context.now) > 0) {
+    SchedulePush(context);
   }
-  ForgetGone(instance.registry, kGoneRetention, turn.now);
+  ForgetGone(instance.registry, kGoneRetention, context.now);
   std::erase_if(instance.subscribers, [&](const auto& item) {
-    return turn.now - item.second.heard_at > kGoneRetention;
+    return context.now - item.second.heard_at > kGoneRetention;
   });
 }
 
-void HandlePackedUpdate(ControlTurn& turn, InstanceAddress from,
+void HandlePackedUpdate(ControlContext& context, InstanceAddress from,
                         wire::Update update) {
   if (!Unpack(update)) {
-    Log(turn, EventId::kMalformedInput,
+    Log(context, EventId::kMalformedInput,
         "malformed update from " + FormatIp(from), Severity::kWarning);
     return;
   }
-  HandleUpdate(turn, from, update);
+  HandleUpdate(context, from, update);
 }
 
 struct EventVisitor {
-  ControlTurn& turn;
+  ControlContext& context;
   void operator()(const ControlInstanceStarted& event) {
-    ControlInstance& instance = this->turn.instance;
-    instance.started_at = this->turn.now;
-    instance.push_at = kNever;
-    RestoreRegistry(this->turn, event.saved);
-    Log(this->turn, EventId::kStarted,
+    ControlInstance& instance = this->context.instance;
+    instance.started_at = this->context.now;
+    instance.next_push_at = kNever;
+    RestoreRegistry(this->context, event.saved);
+    Log(this->context, EventId::kStarted,
         "seq=" + std::to_string(instance.replica.committed.seq()) +
             " members=" +
             std::to_string(instance.replica.committed.members_size()) +
             " voter=" + std::to_string(IsVoter(instance.replica)));
-    ApplyCommittedRules(this->turn);
-    RunReplica(this->turn, ControlStarted{});
-    SubscribeToOthers(this->turn);
-    SendSummaryToFollowers(this->turn);
+    ApplyCommittedRules(this->context);
+    RunReplica(this->context, ControlStarted{});
+    SubscribeToOthers(this->context);
+    SendSummaryToFollowers(this->context);
   }
-  void operator()(const ControlInstanceDue&) { HandleDue(this->turn); }
+  void operator()(const ControlInstanceDue&) { HandleTick(this->context); }
   void operator()(const PeerMessage& event) {
     const wire::FleetMessage& message = event.message;
     if (message.has_control()) {
-      RunReplica(this->turn, ControlReceived{.from = event.from,
-                                             .message = message.control()});
-      RetrySubmissions(this->turn);
+      RunReplica(this->context, ControlReceived{.from = event.from,
+                                                .message = message.control()});
+      RetrySubmissions(this->context);
     } else if (message.has_subscribe()) {
-      HandleSubscribe(this->turn, event.from, message.subscribe());
+      HandleSubscribe(this->context, event.from, message.subscribe());
     } else if (message.has_update()) {
-      HandlePackedUpdate(this->turn, event.from, message.update());
+      HandlePackedUpdate(this->context, event.from, message.update());
     } else if (message.has_outcomes()) {
-      HandleOutcomes(this->turn, message.outcomes());
+      HandleOutcomes(this->context, message.outcomes());
     }
   }
   void operator()(const ServerReported& event) {
-    HandleReport(this->turn, event);
+    HandleReport(this->context, event);
   }
   void operator()(const RulesSubmitted& event) {
-    HandleSubmitted(this->turn, event);
+    HandleSubmitted(this->context, event);
   }
-  void operator()(const RulesRead& event) { HandleRead(this->turn, event); }
+  void operator()(const RulesRead& event) { HandleRead(this->context, event); }
   void operator()(const ControlStopRequested&) {
-    this->turn.instance.stopping = true;
-    Log(this->turn, EventId::kStopping, "control instance");
+    this->context.instance.stopping = true;
+    Log(this->context, EventId::kStopping, "control instance");
   }
   void operator()(const ControlDiskFailed&) {
-    ControlInstance& instance = this->turn.instance;
+    ControlInstance& instance = this->context.instance;
     instance.disk_failed = true;
     for (const auto& [token, proposal] : instance.proposals) {
-      Answer(this->turn, AnswerCall{.call = proposal.call,
-                                    .reason = "the disk takes no writes"});
+      Answer(this->context, AnswerCall{.call = proposal.call,
+                                       .reason = "writes to the disk fail"});
     }
     instance.proposals.clear();
   }
   void operator()(const ControlDiskRestored& event) {
-    ControlInstance& instance = this->turn.instance;
+    ControlInstance& instance = this->context.instance;
     const ReplicaConfig config = instance.replica.config;
     instance.replica = Replica{.config = config};
     for (const wire::DurableRecord& record : event.log) {
       Restore(instance.replica, record);
     }
     instance.disk_failed = false;
-    RunReplica(this->turn, ControlStarted{});
+    RunReplica(this->context, ControlStarted{});
   }
 };
 
 }  // namespace
 
-void Log(ControlTurn& turn, EventId id, const std::string& text,
+void Log(ControlContext& context, EventId id, const std::string& text,
          Severity severity) {
-  turn.effects.emplace_back(
+  context.effects.emplace_back(
       LogRecord{.id = id, .severity = severity, .text = text});
 }
 
-void Answer(ControlTurn& turn, AnswerCall answer) {
-  turn.effects.emplace_back(std::move(answer));
+void Answer(ControlContext& context, AnswerCall answer) {
+  context.effects.emplace_back(std::move(answer));
 }
 
-void RunReplica(ControlTurn& turn, const ControlEvent& event) {
-  ControlInstance& instance = turn.instance;
+void RunReplica(ControlContext& context, const ControlEvent& event) {
+  ControlInstance& instance = context.instance;
   if (instance.disk_failed) {
     return;
   }
   const ReplicaRole before = instance.replica.role;
   const std::uint64_t seq_before = instance.replica.committed.seq();
   for (const ControlEffect& effect :
-       Reduce(instance.replica, event, turn.now)) {
-    std::visit(ReplicaVisitor{.turn = turn}, effect);
+       Reduce(instance.replica, event, context.now)) {
+    std::visit(ReplicaVisitor{.context = context}, effect);
   }
-  LogLeadership(turn, before);
+  LogLeadership(context, before);
   if (instance.replica.committed.seq() != seq_before) {
-    LogVoters(turn);
+    LogVoters(context);
   }
 }
 
-InstanceAddress RedirectTarget(const ControlTurn& turn) {
-  const Replica& replica = turn.instance.replica;
-  const bool heard = turn.now - replica.leader_heard_at <= kRedirectMaxSilence;
-  const bool other = replica.leader != turn.instance.config.self;
-  return heard && other && !turn.instance.disk_failed ? replica.leader : 0;
+InstanceAddress RedirectTarget(const ControlContext& context) {
+  const Replica& replica = context.instance.replica;
+  const bool heard =
+      context.now - replica.leader_heard_at <= kRedirectMaxSilence;
+  const bool other = replica.leader != context.instance.config.self;
+  return heard && other && !context.instance.disk_failed ? replica.leader : 0;
 }
 
 ControlInstance MakeControlInstance(
@@ -309,8 +318,8 @@
   replica.control_instances = config.seeds;
   replica.open_membership = true;
   replica.lease = kLease;
-  replica.restart_wait = kRestartWait;
-  replica.election_spread = kElectionSpread;
+  replica.restart_wait = kRestartVoteDelay;
+  replica.election_spread = kElectionJitter;
   replica.least_voters = std::max(kMinVoters, 2 * config.tolerated_losses + 1);
   for (const wire::DurableRecord& record : log) {
     Restore(instance.replica, record);
@@ -322,16 +331,17 @@
                                           const ControlInstanceEvent& event,
                                           TimePoint now) {
   std::vector<ControlInstanceEffect> effects;
-  ControlTurn turn{.instance = instance, .now = now, .effects = effects};
-  std::visit(EventVisitor{.turn = turn}, event);
+  ControlContext context{.instance = instance, .now = now, .effects = effects};
+  std::visit(EventVisitor{.context = context}, event);
   return effects;
 }
 
 TimePoint NextDue(const ControlInstance& instance) {
   const Replica& replica = instance.replica;
-  TimePoint due = std::min(
-      {instance.subscribe_at, instance.push_at, instance.housekeeping_at,
-       instance.outcomes.evaluate_at, NextDue(instance.follower_queue)});
+  TimePoint due = std::min({instance.next_subscribe_at, instance.next_push_at,
+                            instance.next_housekeeping_at,
+                            instance.outcomes.next_evaluation_at,
+                            NextDue(instance.follower_queue)});
   if (!instance.disk_failed) {
     const bool leads = replica.role == ReplicaRole::kLeader;
     const TimePoint follower_due =
--- a/Source/Fleet/ControlInstance.h
+++ b/Source/Fleet/ControlInstance.h
@@ -18,8 +18,8 @@
 #include "Registry/Registry.h"
 
 /// A control instance of a fleet: agrees with the other control instances on
-/// the rules, receives reports of backend servers, and distributes both to the
-/// entry instances.
+/// the rules, receives the reports of backend servers, and distributes the
+/// rules and the server records to the entry instances.
 ///
 /// A reducer without clock, socket, disk or random source. Not thread safe.
 namespace filbertwall {
@@ -31,11 +31,15 @@
 struct Subscriber {
   std::uint64_t rules_version = 0;
   std::uint64_t registry_change = 0;  ///< All changes up to it were received.
-  bool control = false;
-  bool rules_wanted = false;
-  TimePoint heard_at;       ///< When its last request was processed.
-  TimePoint heard_sent_at;  ///< When it was last sent `Update.heard`.
-  TimePoint next_batch_by;  ///< Its request for more records is expected then.
+  bool control = false;               ///< Whether it is a control instance.
+  bool rules_wanted = false;  ///< Whether updates to it include the rules.
+  TimePoint heard_at;         ///< When its last `Subscribe` was processed.
+  /// When it was last sent `Update.heard`, the list of servers that reported
+  /// here.
+  TimePoint heard_list_sent_at;
+  /// Time until which its request for the next records is expected after a
+  /// partial update.
+  TimePoint next_request_by;
 };
 
 /// Another control instance, from which records are received.
@@ -69,13 +73,15 @@
   std::uint64_t elections_won = 0;
 };
 
-/// Flow outcomes of the backend servers, and those to be forwarded to other
-/// control instances.
+/// Flow outcomes of the backend servers. Those received from entry instances
+/// are also forwarded to the other control instances, since each entry instance
+/// reports to only one.
 struct ServerOutcomes {
   OutcomeLedger ledger;
+  /// Received from entry instances since the last forwarding; by server id.
   std::map<std::string, wire::ServerOutcome> to_forward;
   std::set<std::string> failing;  ///< Servers marked as failing.
-  TimePoint evaluate_at = TimePoint::max();
+  TimePoint next_evaluation_at = TimePoint::max();
 };
 
 /// A rules file that this instance proposed as leader.
@@ -100,17 +106,21 @@
   std::string logged_voters;  ///< Voters as last logged.
   std::uint64_t next_token = 1;
   TimePoint started_at;
-  TimePoint subscribe_at;
-  TimePoint push_at;  ///< `kNever` when no push is scheduled.
-  TimePoint pushed_at;
-  TimePoint housekeeping_at;
-  TimePoint save_at;
+  /// Next request to the other control instances.
+  TimePoint next_subscribe_at;
+  TimePoint next_push_at;  ///< Next push; `kNever` when none is scheduled.
+  TimePoint last_push_at;  ///< When `PushUpdates` last ran.
+  TimePoint next_housekeeping_at;  ///< Next removal of expired state.
+  TimePoint next_save_at;  ///< Earliest time of the next `SaveRegistry`.
   std::uint64_t saved_change = 0;  ///< Registry change last saved.
   std::set<InstanceAddress> saved_followers;
   std::set<InstanceAddress> saved_control_instances;
   /// Entry instances that were subscribed before this start.
   std::set<InstanceAddress> previous_followers;
-  bool settled = false;  ///< The registry is considered complete.
+  /// Whether the registry is considered complete: it was restored from the
+  /// disk, received from a control instance with a complete one, or each server
+  /// has had time to report.
+  bool settled = false;
   bool stopping = false;
   bool disk_failed = false;  ///< The replica is not run while set.
   ControlCounters counters;
@@ -138,8 +148,8 @@
   CallId call = 0;
 };
 struct ControlStopRequested {};
-/// Writes to the disk fail; the log may end anywhere after the last synced
-/// record.
+/// Writes to the disk fail. Records appended after the last sync may be missing
+/// from the log or incomplete.
 struct ControlDiskFailed {};
 /// The disk accepts writes again; `log` is its whole content.
 struct ControlDiskRestored {
@@ -172,7 +182,7 @@
   wire::DurableRecord record;
 };
 /// Saves the backend servers for the next start. Correctness does not depend on
-/// the saved data: it is used only until the servers have had time to report.
+/// the saved data, which serves only until the servers have reported again.
 struct SaveRegistry {
   wire::SavedRegistry saved;
 };
@@ -192,9 +202,10 @@
 /// Returns when `ControlInstanceDue` is to be applied next.
 TimePoint NextDue(const ControlInstance& instance);
 
-/// Returns the first record of the log on an empty disk. On the first start of
-/// the fleet, a seed gets a record with the seeds as its founding members; any
-/// other instance gets a record with only its incarnation.
+/// Returns the record with which the log on an empty disk starts. On the first
+/// start of the fleet, the record of a seed lists the seeds as the initial
+/// voters. In all other cases it contains only the incarnation, and the
+/// instance joins the existing voters later.
 wire::DurableRecord FirstRecord(const FleetConfig& config, bool first_start);
 
 }  // namespace filbertwall
--- a/Source/Fleet/ControlUpdates.cc
+++ b/Source/Fleet/ControlUpdates.cc
@@ -1,7 +1,7 @@
 #include <algorithm>
 
 #include "Base/Endpoint.h"
-#include "Fleet/ControlTurn.h"
+#include "Fleet/ControlContext.h"
 
 /// Updates that control instances send to each other and to entry instances.
 namespace filbertwall {
@@ -9,11 +9,12 @@
 
 constexpr Milliseconds kSubscribeInterval{1000};
 constexpr Milliseconds kPushDelay{15};
-/// The pause between two pushes is at least this long for each subscriber.
+/// The pause between two pushes is at least this long times the number of
+/// subscribers.
 constexpr Milliseconds kPushIntervalPerSubscriber{1};
 constexpr Milliseconds kSubscriberTimeout{3000};
-/// Limit of backend servers in one update; a receiver that lacks more requests
-/// them.
+/// Maximum number of server records in one update. The receiver requests the
+/// records that remain.
 constexpr std::size_t kMaxRecordsPerUpdate = 400;
 /// A receiver of a partial update is expected to request the next records
 /// within this time.
@@ -22,14 +23,13 @@
 /// received.
 constexpr Milliseconds kKnowledgeLifetime{1200};
 /// Entry instances that subscribed before a restart of this instance are sent
-/// summaries for this long after it; later they have subscribed again by
-/// themselves.
+/// summaries for this long after it. By then they have subscribed again.
 constexpr Milliseconds kPreviousFollowerLifetime{3000};
 /// Interval at which each control instance is sent the list of servers that
 /// reported here.
 constexpr Milliseconds kHeardListInterval{900};
-/// Another control instance counts as known until nothing was received from it
-/// for this long.
+/// Another control instance that is neither a seed nor a voter is removed from
+/// the known ones when it was not known to be running for this long.
 constexpr Milliseconds kSourceLifetime{5000};
 /// The committed state counts as fresh for this long after it was confirmed as
 /// the newest one.
@@ -41,12 +41,12 @@
 }
 
 /// Updates `settled` and returns it.
-bool CheckSettled(ControlTurn& turn) {
-  ControlInstance& instance = turn.instance;
+bool CheckSettled(ControlContext& context) {
+  ControlInstance& instance = context.instance;
   const Milliseconds limit =
       instance.config.announce_interval * kIntervalsUntilSettled;
   instance.settled =
-      instance.settled || turn.now - instance.started_at >= limit;
+      instance.settled || context.now - instance.started_at >= limit;
   return instance.settled;
 }
 
@@ -83,19 +83,19 @@
   return standbys;
 }
 
-/// Returns an update without contents: only the versions and instances that are
-/// known here.
-wire::Update MakeSummary(ControlTurn& turn) {
-  ControlInstance& instance = turn.instance;
+/// Returns an update without contents, which states only the versions and the
+/// control instances that are known here.
+wire::Update MakeSummary(ControlContext& context) {
+  ControlInstance& instance = context.instance;
   const wire::ControlState& state = instance.replica.committed;
   wire::Update update;
   update.set_fresh(!instance.disk_failed &&
-                   KnowsNewest(instance.replica, turn.now, kFreshnessLimit));
-  update.set_settled(CheckSettled(turn));
+                   KnowsNewest(instance.replica, context.now, kFreshnessLimit));
+  update.set_settled(CheckSettled(context));
   for (const wire::Member& member : state.members()) {
     update.add_control_instances(member.instance());
   }
-  for (const InstanceAddress standby : ActiveStandbys(instance, turn.now)) {
+  for (const InstanceAddress standby : ActiveStandbys(instance, context.now)) {
     update.add_standbys(standby);
   }
   update.set_data_centre(instance.config.data_centre);
@@ -109,14 +109,14 @@
   return update;
 }
 
-wire::Update MakeUpdate(ControlTurn& turn, const Subscriber& subscriber) {
-  ControlInstance& instance = turn.instance;
-  wire::Update update = MakeSummary(turn);
+wire::Update MakeUpdate(ControlContext& context, const Subscriber& subscriber) {
+  ControlInstance& instance = context.instance;
+  wire::Update update = MakeSummary(context);
   update.set_registry_epoch(instance.config.incarnation);
   update.set_registry_from(subscriber.registry_change);
   const PackedRecords& records = PackRecordsAfter(
       instance.packed_contents, instance.registry, subscriber.registry_change,
-      kMaxRecordsPerUpdate, turn.now);
+      kMaxRecordsPerUpdate, context.now);
   update.set_registry_change(records.change);
   update.set_partial(!records.complete);
   update.set_packed_servers(records.bytes);
@@ -129,47 +129,48 @@
 
 /// Sends an update without contents, with the knowledge of this instance and of
 /// the control instances from which it was received recently.
-void SendSummary(ControlTurn& turn, InstanceAddress to) {
+void SendSummary(ControlContext& context, InstanceAddress to) {
   wire::FleetMessage message;
-  *message.mutable_update() = MakeSummary(turn);
-  for (const auto& [address, source] : turn.instance.sources) {
-    const bool lately = turn.now - source.knowledge_at <= kKnowledgeLifetime;
+  *message.mutable_update() = MakeSummary(context);
+  for (const auto& [address, source] : context.instance.sources) {
+    const bool lately = context.now - source.knowledge_at <= kKnowledgeLifetime;
     if (source.knowledge.instance() != 0 && lately) {
       *message.mutable_update()->add_others() = source.knowledge;
     }
   }
-  turn.effects.emplace_back(
+  context.effects.emplace_back(
       SendMessage{.to = to, .message = std::move(message)});
 }
 
 /// Adds the ids of the servers that reported here recently to an update for
 /// another control instance, if the interval since the last list has passed.
-void AddHeardList(ControlTurn& turn, Subscriber& subscriber,
+void AddHeardList(ControlContext& context, Subscriber& subscriber,
                   wire::Update& update) {
-  if (turn.now - subscriber.heard_sent_at < kHeardListInterval) {
+  if (context.now - subscriber.heard_list_sent_at < kHeardListInterval) {
     return;
   }
-  subscriber.heard_sent_at = turn.now;
+  subscriber.heard_list_sent_at = context.now;
   const Milliseconds lately = kSubscribeInterval * 2;
-  for (const auto& [id, server] : turn.instance.registry.servers) {
-    if (turn.now - server.reported_at <= lately) {
+  for (const auto& [id, server] : context.instance.registry.servers) {
+    if (context.now - server.reported_at <= lately) {
       update.add_heard(id);
     }
   }
 }
 
-void SendUpdate(ControlTurn& turn, InstanceAddress to, Subscriber& subscriber) {
+void SendUpdate(ControlContext& context, InstanceAddress to,
+                Subscriber& subscriber) {
   wire::FleetMessage message;
-  *message.mutable_update() = MakeUpdate(turn, subscriber);
+  *message.mutable_update() = MakeUpdate(context, subscriber);
   wire::Update& update = *message.mutable_update();
   update.set_confirm(update.partial() ||
                      (subscriber.control && !update.packed_servers().empty()));
-  subscriber.next_batch_by =
-      update.partial() ? turn.now + kNextBatchTimeout : TimePoint();
+  subscriber.next_request_by =
+      update.partial() ? context.now + kNextBatchTimeout : TimePoint();
   if (subscriber.control) {
-    AddHeardList(turn, subscriber, update);
+    AddHeardList(context, subscriber, update);
   }
-  turn.effects.emplace_back(
+  context.effects.emplace_back(
       SendMessage{.to = to, .message = std::move(message)});
 }
 
@@ -183,37 +184,38 @@
       (subscriber.rules_wanted && subscriber.rules_version < version);
   // After a partial update the receiver requests the next records, and gets new
   // changes with them.
-  const bool request_expected = now < subscriber.next_batch_by;
+  const bool request_expected = now < subscriber.next_request_by;
   return behind && !request_expected && IsActive(subscriber, now);
 }
 
 /// Stores the knowledge of another control instance. If none was received from
-/// it recently, entry instances are sent a summary at once, since they may wait
-/// for a majority.
-void RecordKnowledge(ControlTurn& turn, InstanceAddress from,
+/// it recently, entry instances are sent a summary at once: they may need its
+/// knowledge to confirm their rules by a majority.
+void RecordKnowledge(ControlContext& context, InstanceAddress from,
                      const wire::Knowledge& knowledge) {
-  RegistrySource& source = turn.instance.sources[from];
-  const bool is_back = source.knowledge.instance() == 0 ||
-                       turn.now - source.knowledge_at > kKnowledgeLifetime;
+  RegistrySource& source = context.instance.sources[from];
+  const bool was_unknown =
+      source.knowledge.instance() == 0 ||
+      context.now - source.knowledge_at > kKnowledgeLifetime;
   source.knowledge = knowledge;
   source.knowledge.set_instance(from);
-  source.knowledge_at = turn.now;
-  if (is_back) {
-    SendSummaryToFollowers(turn);
+  source.knowledge_at = context.now;
+  if (was_unknown) {
+    SendSummaryToFollowers(context);
   }
 }
 
 }  // namespace
 
-void SendSummaryToFollowers(ControlTurn& turn) {
-  ControlInstance& instance = turn.instance;
-  std::set<InstanceAddress> followers = ActiveFollowers(instance, turn.now);
-  if (turn.now - instance.started_at <= kPreviousFollowerLifetime) {
+void SendSummaryToFollowers(ControlContext& context) {
+  ControlInstance& instance = context.instance;
+  std::set<InstanceAddress> followers = ActiveFollowers(instance, context.now);
+  if (context.now - instance.started_at <= kPreviousFollowerLifetime) {
     followers.insert(instance.previous_followers.begin(),
                      instance.previous_followers.end());
   }
   for (const InstanceAddress follower : followers) {
-    SendSummary(turn, follower);
+    SendSummary(context, follower);
   }
 }
 
@@ -244,43 +246,43 @@
   return followers;
 }
 
-void PushUpdates(ControlTurn& turn) {
-  ControlInstance& instance = turn.instance;
-  instance.push_at = kNever;
-  instance.pushed_at = turn.now;
+void PushUpdates(ControlContext& context) {
+  ControlInstance& instance = context.instance;
+  instance.next_push_at = kNever;
+  instance.last_push_at = context.now;
   for (auto& [address, subscriber] : instance.subscribers) {
-    if (NeedsPush(instance, subscriber, turn.now)) {
-      SendUpdate(turn, address, subscriber);
+    if (NeedsPush(instance, subscriber, context.now)) {
+      SendUpdate(context, address, subscriber);
     }
   }
 }
 
-void PushToControlInstances(ControlTurn& turn) {
-  ControlInstance& instance = turn.instance;
+void PushToControlInstances(ControlContext& context) {
+  ControlInstance& instance = context.instance;
   for (auto& [address, subscriber] : instance.subscribers) {
-    if (subscriber.control && NeedsPush(instance, subscriber, turn.now)) {
-      SendUpdate(turn, address, subscriber);
+    if (subscriber.control && NeedsPush(instance, subscriber, context.now)) {
+      SendUpdate(context, address, subscriber);
     }
   }
 }
 
-void SchedulePush(ControlTurn& turn) {
-  ControlInstance& instance = turn.instance;
-  // Changes in the meantime are sent with the same push. The pause grows with
-  // the number of subscribers, so that pushes to many of them leave time for
-  // other work when servers change continually.
+void SchedulePush(ControlContext& context) {
+  ControlInstance& instance = context.instance;
+  // Changes until then are sent with the same push. The pause grows with the
+  // number of subscribers, so that the event loop has time for other work when
+  // servers change continually.
   const Milliseconds pause =
       kPushIntervalPerSubscriber * instance.subscribers.size();
   const TimePoint due =
-      std::max(turn.now + kPushDelay, instance.pushed_at + pause);
-  instance.push_at = std::min(instance.push_at, due);
+      std::max(context.now + kPushDelay, instance.last_push_at + pause);
+  instance.next_push_at = std::min(instance.next_push_at, due);
 }
 
-void SubscribeToOthers(ControlTurn& turn) {
-  ControlInstance& instance = turn.instance;
-  instance.subscribe_at = turn.now + kSubscribeInterval;
+void SubscribeToOthers(ControlContext& context) {
+  ControlInstance& instance = context.instance;
+  instance.next_subscribe_at = context.now + kSubscribeInterval;
   for (const InstanceAddress other :
-       OtherControlInstances(instance, turn.now)) {
+       OtherControlInstances(instance, context.now)) {
     instance.replica.config.control_instances.insert(other);
     const RegistrySource& source = instance.sources[other];
     wire::FleetMessage message;
@@ -289,17 +291,17 @@
     subscribe.set_registry_epoch(source.position.epoch);
     subscribe.set_registry_change(source.position.change);
     *subscribe.mutable_knowledge() = OwnKnowledge(instance);
-    turn.effects.emplace_back(
+    context.effects.emplace_back(
         SendMessage{.to = other, .message = std::move(message)});
   }
 }
 
 namespace {
 
-/// Answers a request for all changes since the versions of the sender.
-void AnswerSubscribe(ControlTurn& turn, InstanceAddress from,
+/// Answers a request for all changes after the versions that the sender has.
+void AnswerSubscribe(ControlContext& context, InstanceAddress from,
                      const wire::Subscribe& subscribe) {
-  ControlInstance& instance = turn.instance;
+  ControlInstance& instance = context.instance;
   const bool known_epoch =
       subscribe.registry_epoch() == instance.config.incarnation;
   Subscriber& subscriber = instance.subscribers[from];
@@ -310,48 +312,49 @@
                           .registry_change = change,
                           .control = subscribe.control(),
                           .rules_wanted = subscribe.rules_wanted(),
-                          .heard_at = turn.now,
-                          .heard_sent_at = subscriber.heard_sent_at};
-  AnswerPendingReports(turn);
+                          .heard_at = context.now,
+                          .heard_list_sent_at = subscriber.heard_list_sent_at};
+  AnswerPendingReports(context);
   const bool complete = change == instance.registry.change;
   if (subscribe.control() && is_confirmation && complete) {
-    return;  // The message only confirms a sent update.
+    return;  // The request only confirms an update, and nothing is missing.
   }
-  SendUpdate(turn, from, subscriber);
+  SendUpdate(context, from, subscriber);
 }
 
 }  // namespace
 
-void AnswerFollowerRequests(ControlTurn& turn) {
-  while (const auto request = Dequeue(turn.instance.follower_queue, turn.now)) {
+void AnswerFollowerRequests(ControlContext& context) {
+  while (const auto request =
+             Dequeue(context.instance.follower_queue, context.now)) {
     if (request->subscribe.brief()) {
-      SendSummary(turn, request->from);
+      SendSummary(context, request->from);
     } else {
-      AnswerSubscribe(turn, request->from, request->subscribe);
+      AnswerSubscribe(context, request->from, request->subscribe);
     }
   }
 }
 
-void HandleSubscribe(ControlTurn& turn, InstanceAddress from,
+void HandleSubscribe(ControlContext& context, InstanceAddress from,
                      const wire::Subscribe& subscribe) {
-  HandleOutcomes(turn, subscribe.outcomes());
+  HandleOutcomes(context, subscribe.outcomes());
   if (subscribe.has_knowledge()) {
-    RecordKnowledge(turn, from, subscribe.knowledge());
+    RecordKnowledge(context, from, subscribe.knowledge());
   }
   if (subscribe.control()) {
-    AnswerSubscribe(turn, from, subscribe);
+    AnswerSubscribe(context, from, subscribe);
     return;
   }
-  Enqueue(turn.instance.follower_queue,
-          FollowerRequest{.from = from, .subscribe = subscribe}, turn.now);
-  AnswerFollowerRequests(turn);
+  Enqueue(context.instance.follower_queue,
+          FollowerRequest{.from = from, .subscribe = subscribe}, context.now);
+  AnswerFollowerRequests(context);
 }
 
-void HandleUpdate(ControlTurn& turn, InstanceAddress from,
+void HandleUpdate(ControlContext& context, InstanceAddress from,
                   const wire::Update& update) {
-  ControlInstance& instance = turn.instance;
+  ControlInstance& instance = context.instance;
   RegistrySource& source = instance.sources[from];
-  source.heard_at = turn.now;
+  source.heard_at = context.now;
   source.data_centre = update.data_centre();
   for (const InstanceAddress address : update.control_instances()) {
     // The leader may not be a seed, and a request to join must reach it.
@@ -361,13 +364,14 @@
   }
   for (const InstanceAddress address : update.standbys()) {
     if (address != instance.config.self) {
-      instance.sources[address].heard_at = turn.now;
+      instance.sources[address].heard_at = context.now;
     }
   }
   bool changed = false;
   for (wire::ServerRecord record : update.servers()) {
-    // Each control instance decides by itself which servers are silent. The
-    // mark set here is kept until the server sends a new sequence.
+    // Each control instance decides by itself which servers are silent, so the
+    // sender's mark is ignored. The mark set here is kept until a record with
+    // another sequence arrives.
     record.set_silent(false);
     const auto known = instance.registry.servers.find(record.id());
     const bool silent = known != instance.registry.servers.end() &&
@@ -376,28 +380,28 @@
                       known->second.record.sequence() == record.sequence());
     KeepJudgement(instance.registry, record);
     if (CheckRecord(record).empty() &&
-        MergeRecord(instance.registry, record, turn.now)) {
+        MergeRecord(instance.registry, record, context.now)) {
       changed = true;
-      LogServer(turn, record, FormatIp(from));
+      LogServer(context, record, FormatIp(from));
     }
   }
   const std::uint64_t before = instance.registry.change;
   for (const std::string& id : update.heard()) {
-    NoteHeard(instance.registry, id, turn.now);
+    NoteHeard(instance.registry, id, context.now);
   }
   if (changed || instance.registry.change != before) {
-    SchedulePush(turn);
+    SchedulePush(context);
   }
   NoteContents(source.position, update);
   instance.settled = instance.settled || update.settled();
-  RecordKnowledge(turn, from, KnowledgeIn(update));
+  RecordKnowledge(context, from, KnowledgeIn(update));
   if (update.confirm()) {
     wire::FleetMessage message;
     wire::Subscribe& subscribe = *message.mutable_subscribe();
     subscribe.set_control(true);
     subscribe.set_registry_epoch(source.position.epoch);
     subscribe.set_registry_change(source.position.change);
-    turn.effects.emplace_back(
+    context.effects.emplace_back(
         SendMessage{.to = from, .message = std::move(message)});
   }
 }
--- a/Source/Fleet/EntryInstance.cc
+++ b/Source/Fleet/EntryInstance.cc
@@ -9,9 +9,9 @@
 
 /// Time between two requests to the primary.
 constexpr Milliseconds kPollInterval{400};
-/// Missing contents are requested again after this time, which doubles with
-/// each request: many instances may request them at once, and contents that are
-/// sent twice delay the others.
+/// Missing contents are requested again after an interval that starts at the
+/// minimum and doubles with each request up to the maximum: when many instances
+/// request contents at once, sending them twice to one delays the others.
 constexpr Milliseconds kMinContentsRequestInterval{60};
 constexpr Milliseconds kMaxContentsRequestInterval{500};
 /// When the primary has not sent a fresh update for this long, all known
@@ -21,8 +21,8 @@
 /// minimum and doubles up to the maximum.
 constexpr Milliseconds kMinProbeInterval{40};
 constexpr Milliseconds kMaxProbeInterval{120};
-/// The maximum when fewer replies came than half the number of probes: the
-/// control instances may be overloaded.
+/// Maximum probe interval when fewer than half of the probes were answered,
+/// since the control instances may be overloaded.
 constexpr Milliseconds kMaxUnansweredProbeInterval{240};
 /// Time between two probes of the own data centre while the primary is in
 /// another one.
@@ -34,10 +34,11 @@
 /// A timer that is overdue by more than this shows that the process was
 /// suspended or had no processor time.
 constexpr Milliseconds kStallThreshold{300};
-/// Time to read the packets that have queued up during a stall.
+/// After a stall, opening packets are discarded for this long: time enough to
+/// read the packets that have queued up meanwhile.
 constexpr Milliseconds kStallDiscardTime{100};
-/// How long the record of a gone server is kept. Longer than any flow lasts, so
-/// that the token of each of its flows can be resolved.
+/// How long the record of a gone server is kept. This is longer than any flow
+/// lasts, so that the token of each flow can still be resolved to its server.
 constexpr Milliseconds kGoneRetention{90000};
 /// Time between the stop request and the end of the process. The routers send
 /// packets elsewhere only after two failed health checks.
@@ -107,11 +108,11 @@
 /// the own one at intervals, so that one of them can become the primary again.
 void ProbeLocalSources(EventContext& context) {
   EntryInstance& instance = context.instance;
-  if (context.now < instance.local_probe_at ||
+  if (context.now < instance.next_local_probe_at ||
       IsLocal(instance, instance.primary)) {
     return;
   }
-  instance.local_probe_at = context.now + kLocalProbeInterval;
+  instance.next_local_probe_at = context.now + kLocalProbeInterval;
   for (const auto& [address, source] : instance.sources) {
     if (IsLocal(instance, address)) {
       SendProbe(context, address);
@@ -122,7 +123,7 @@
 void PollControl(EventContext& context) {
   EntryInstance& instance = context.instance;
   if (!LacksFreshPrimary(instance, context.now)) {
-    instance.poll_at = context.now + kPollInterval;
+    instance.next_poll_at = context.now + kPollInterval;
     SendSubscribe(context, instance.primary);
     ProbeLocalSources(context);
     return;
@@ -136,7 +137,7 @@
     instance.primary = 0;
     instance.probe_interval = kMinProbeInterval;
   }
-  instance.poll_at = context.now + instance.probe_interval;
+  instance.next_poll_at = context.now + instance.probe_interval;
   const bool few_replies = instance.probe_replies * 2 < instance.sources.size();
   instance.probe_interval =
       std::min(instance.probe_interval * 2,
@@ -150,8 +151,9 @@
   }
 }
 
-/// Requests the contents when `update` shows that some are missing here. Only
-/// one control instance is asked when several send such updates at once.
+/// Requests the contents from `from` when `update` shows that newer rules or
+/// the first server records are missing here. When several control instances
+/// send such updates at once, only one is asked.
 void RequestMissingContents(EventContext& context, InstanceAddress from,
                             const wire::Update& update) {
   EntryInstance& instance = context.instance;
@@ -267,8 +269,9 @@
       confirmed_by_leader || IsConfirmedByMajority(instance, context.now);
 }
 
-/// Makes `from`, whose update was fresh, the primary when there is none, or
-/// when only the new one is in the own data centre.
+/// Makes `from` the primary when there is none, or when `from` is in the own
+/// data centre and the current primary is not. Precondition: the update of
+/// `from` was fresh.
 void ChoosePrimary(EventContext& context, InstanceAddress from,
                    const ControlSource& source) {
   EntryInstance& instance = context.instance;
@@ -276,15 +279,15 @@
   const bool has_local = IsLocal(instance, instance.primary);
   if (instance.primary == 0 || (local && !has_local)) {
     instance.primary = from;
-    instance.poll_at = context.now;
+    instance.next_poll_at = context.now;
     Log(context, EventId::kControlFound,
         "control=" + FormatIp(from) + " data_centre=" + source.data_centre);
   }
 }
 
-/// Merges knowledge of a control instance that another one has relayed.
-/// Relayed knowledge with fewer committed entries does not replace what is
-/// known, except that the newest version never decreases.
+/// Merges the knowledge of a control instance that another one has relayed. It
+/// replaces the present knowledge unless it has fewer committed entries. In
+/// either case the higher of the two newest versions is kept.
 void MergeRelayedKnowledge(ControlSource& source,
                            const wire::Knowledge& knowledge, TimePoint now) {
   const std::uint64_t newest =
@@ -352,17 +355,17 @@
   void operator()(const EntryStarted&) {
     EntryInstance& instance = this->context.instance;
     instance.started_at = this->context.now;
-    instance.housekeeping_at = this->context.now + kHousekeepingInterval;
+    instance.next_housekeeping_at = this->context.now + kHousekeepingInterval;
     PollControl(this->context);
   }
   void operator()(const EntryDue&) {
     EntryInstance& instance = this->context.instance;
     ExpireFlows(instance.forwarder, this->context.now);
-    if (this->context.now >= instance.poll_at) {
+    if (this->context.now >= instance.next_poll_at) {
       PollControl(this->context);
     }
-    if (this->context.now >= instance.housekeeping_at) {
-      instance.housekeeping_at = this->context.now + kHousekeepingInterval;
+    if (this->context.now >= instance.next_housekeeping_at) {
+      instance.next_housekeeping_at = this->context.now + kHousekeepingInterval;
       ForgetGone(instance.registry, kGoneRetention, this->context.now);
     }
     if (instance.stopping && !instance.stopped &&
@@ -423,8 +426,9 @@
 }
 
 TimePoint NextDue(const EntryInstance& instance) {
-  TimePoint due = std::min({instance.poll_at, instance.housekeeping_at,
-                            instance.forwarder.held.release_at});
+  TimePoint due =
+      std::min({instance.next_poll_at, instance.next_housekeeping_at,
+                instance.forwarder.held.release_at});
   if (instance.stopping) {
     due = std::min(due, instance.stop_at);
   }
--- a/Source/Fleet/EntryInstance.h
+++ b/Source/Fleet/EntryInstance.h
@@ -23,10 +23,12 @@
 struct ControlSource {
   RegistryPosition position;
   std::string data_centre;
-  TimePoint heard_at;               ///< Time of its last update.
-  TimePoint fresh_at;               ///< Time of its last fresh update.
-  TimePoint contents_requested_at;  ///< Last `Subscribe` that was not brief.
-  wire::Knowledge knowledge;        ///< Stated by it or relayed by another.
+  TimePoint heard_at;  ///< Time of its last update.
+  /// Time of its last fresh update, whose sender knew the newest rules.
+  TimePoint fresh_at;
+  /// When rules and servers were last requested from it; probes do not count.
+  TimePoint contents_requested_at;
+  wire::Knowledge knowledge;  ///< Stated by it or relayed by another.
   TimePoint knowledge_received_at;
 };
 
@@ -35,7 +37,8 @@
   Forwarder forwarder;
   Registry registry;
   std::map<InstanceAddress, ControlSource> sources;
-  /// The control instance that is polled; 0: none, so all are probed.
+  /// The control instance that is polled for changes. While it is 0, there is
+  /// none, and all are probed: asked for their state without the contents.
   InstanceAddress primary = 0;
   TimePoint primary_fresh_at;  ///< Last fresh update from `primary`.
   /// Whether the rules were confirmed as the newest since this start.
@@ -44,13 +47,15 @@
   bool stopping = false;
   bool stopped = false;
   TimePoint started_at;
-  TimePoint poll_at;  ///< Next poll of the primary, or probe of all.
-  TimePoint local_probe_at;
-  Milliseconds probe_interval{0};  ///< Until all are probed again.
-  std::size_t probe_replies = 0;   ///< Updates since all were probed.
+  TimePoint next_poll_at;  ///< Next poll of the primary, or probe of all.
+  /// Next probe of the control instances in the own data centre, while the
+  /// primary is in another one.
+  TimePoint next_local_probe_at;
+  Milliseconds probe_interval{0};  ///< Between two probes of all.
+  std::size_t probe_replies = 0;   ///< Updates since the last probe of all.
   /// Minimum time between two requests for missing contents.
   Milliseconds contents_request_interval{0};
-  TimePoint housekeeping_at;
+  TimePoint next_housekeeping_at;
   TimePoint stop_at;
 };
 
@@ -81,8 +86,8 @@
 
 /// Detects a stall: a timer that is long overdue, because the process was
 /// suspended or had no processor time. After a stall, opening packets that have
-/// queued up are discarded and measurements of admission are reset. Must be
-/// called before `DecidePacket`.
+/// queued up are discarded and the measurements that admission control uses are
+/// reset. Must be called before `DecidePacket`.
 void NoteStall(EntryInstance& instance, TimePoint now);
 
 /// Returns whether new flows may be sent to this instance.
--- a/Source/Fleet/Fleet.h
+++ b/Source/Fleet/Fleet.h
@@ -24,9 +24,11 @@
 struct FleetConfig {
   InstanceAddress self = 0;
   std::string data_centre;
-  std::set<InstanceAddress> seeds;     ///< Control instances to contact first.
-  std::uint32_t tolerated_losses = 1;  ///< Disks that may be lost at once.
-  Milliseconds announce_interval{1000};  ///< Between reports of a server.
+  std::set<InstanceAddress> seeds;  ///< Control instances known at the start.
+  /// Number of voters whose disks may be lost at once.
+  std::uint32_t tolerated_losses = 1;
+  /// Time between two reports of a backend server.
+  Milliseconds announce_interval{1000};
   /// Whether new flows are refused when their answer would come too late.
   bool refuse_overload = true;
   std::uint64_t incarnation = 0;  ///< Differs at each start.
@@ -55,9 +57,10 @@
 /// `instance` field is not set.
 wire::Knowledge KnowledgeIn(const wire::Update& update);
 
-/// Advances `position` over the records of `update`, unless changes between the
-/// two are missing. After a restart of the sender, only an update that starts
-/// at change 0 moves it.
+/// Advances `position` to the last change that `update` contains. Leaves it
+/// unchanged if the update starts after `position`, since the changes between
+/// would be skipped. After a restart of the sender, only an update that starts
+/// at change 0 is accepted.
 void NoteContents(RegistryPosition& position, const wire::Update& update);
 
 }  // namespace filbertwall
--- a/Source/Fleet/FollowerQueue.h
+++ b/Source/Fleet/FollowerQueue.h
@@ -29,8 +29,9 @@
   std::deque<InstanceAddress> order;  ///< Senders, oldest request first.
   std::map<InstanceAddress, wire::Subscribe> pending;  ///< By sender.
   TimePoint interval_ends_at;
-  std::uint32_t budget = 4;  ///< Cost allowed per interval; a summary costs 1.
-  std::uint32_t spent = 0;   ///< Part of `budget` used in this interval.
+  /// Cost allowed per interval. A summary costs 1, an answer with contents 2.
+  std::uint32_t budget = 4;
+  std::uint32_t spent = 0;     ///< Part of `budget` used in this interval.
   std::uint64_t repeated = 0;  ///< Requests received while one was queued.
 };
 
--- a/Source/Fleet/ServerOutcomes.cc
+++ b/Source/Fleet/ServerOutcomes.cc
@@ -1,6 +1,6 @@
 #include <algorithm>
 
-#include "Fleet/ControlTurn.h"
+#include "Fleet/ControlContext.h"
 
 /// Marks backend servers as failing in their records, from the flow outcomes
 /// that entry instances report.
@@ -8,20 +8,21 @@
 namespace {
 
 constexpr Milliseconds kEvaluationInterval{250};
-/// Counts of servers with fewer failures are not forwarded.
+/// Outcomes of servers with fewer failures are not forwarded. The failures are
+/// those counted in the statistics here.
 constexpr double kMinForwardedFailures = 0.5;
 
 /// Forwards the outcomes of servers with failures to the other control
-/// instances: each receives outcomes only from the entry instances that follow
-/// it.
-void ForwardOutcomes(ControlTurn& turn) {
-  ControlInstance& instance = turn.instance;
+/// instances, since each receives outcomes only from the entry instances that
+/// subscribed to it.
+void ForwardOutcomes(ControlContext& context) {
+  ControlInstance& instance = context.instance;
   wire::FleetMessage message;
   wire::Outcomes& outcomes = *message.mutable_outcomes();
   outcomes.set_passed_on(true);
   for (const auto& [id, outcome] : instance.outcomes.to_forward) {
     const OutcomeCounts counts =
-        CountsOf(instance.outcomes.ledger, id, turn.now);
+        CountsOf(instance.outcomes.ledger, id, context.now);
     if (counts.failed >= kMinForwardedFailures) {
       *outcomes.add_servers() = outcome;
     }
@@ -31,8 +32,8 @@
     return;
   }
   for (const InstanceAddress other :
-       OtherControlInstances(instance, turn.now)) {
-    turn.effects.emplace_back(SendMessage{.to = other, .message = message});
+       OtherControlInstances(instance, context.now)) {
+    context.effects.emplace_back(SendMessage{.to = other, .message = message});
   }
 }
 
@@ -50,35 +51,37 @@
 }
 
 /// Sets or clears the failing mark of a server.
-void MarkServer(ControlTurn& turn, const std::string& id, bool failing) {
-  ControlInstance& instance = turn.instance;
+void SetServerFailing(ControlContext& context, const std::string& id,
+                      bool failing) {
+  ControlInstance& instance = context.instance;
   SetFailing(instance.registry, id, failing);
-  const OutcomeCounts counts = CountsOf(instance.outcomes.ledger, id, turn.now);
-  Log(turn, EventId::kServerJudged,
+  const OutcomeCounts counts =
+      CountsOf(instance.outcomes.ledger, id, context.now);
+  Log(context, EventId::kServerJudged,
       "server=" + id + " failing=" + std::to_string(failing) +
           " served=" + std::to_string(counts.served) +
           " failed=" + std::to_string(counts.failed),
       failing ? Severity::kWarning : Severity::kInfo);
-  SchedulePush(turn);
+  SchedulePush(context);
 }
 
-void EvaluateServers(ControlTurn& turn) {
-  ControlInstance& instance = turn.instance;
+void EvaluateServers(ControlContext& context) {
+  ControlInstance& instance = context.instance;
   ServerOutcomes& outcomes = instance.outcomes;
   std::set<std::string> failing;
   for (const auto& [service, servers] :
        ReadyServersByService(instance.registry)) {
     failing.merge(
-        FindFailing(outcomes.ledger, servers, outcomes.failing, turn.now));
+        FindFailing(outcomes.ledger, servers, outcomes.failing, context.now));
   }
   for (const std::string& id : failing) {
     if (!outcomes.failing.contains(id)) {
-      MarkServer(turn, id, true);
+      SetServerFailing(context, id, true);
     }
   }
   for (const std::string& id : outcomes.failing) {
     if (!failing.contains(id)) {
-      MarkServer(turn, id, false);
+      SetServerFailing(context, id, false);
     }
   }
   outcomes.failing = std::move(failing);
@@ -86,14 +89,14 @@
 
 }  // namespace
 
-void HandleOutcomes(ControlTurn& turn, const wire::Outcomes& outcomes) {
-  ServerOutcomes& state = turn.instance.outcomes;
+void HandleOutcomes(ControlContext& context, const wire::Outcomes& outcomes) {
+  ServerOutcomes& state = context.instance.outcomes;
   for (const wire::ServerOutcome& outcome : outcomes.servers()) {
-    if (!turn.instance.registry.servers.contains(outcome.id())) {
+    if (!context.instance.registry.servers.contains(outcome.id())) {
       continue;  // Removed from the registry, or not yet known.
     }
     AddOutcomes(state.ledger, outcome.id(), outcome.served(), outcome.failed(),
-                turn.now);
+                context.now);
     if (!outcomes.passed_on()) {
       wire::ServerOutcome& sum = state.to_forward[outcome.id()];
       sum.set_id(outcome.id());
@@ -102,26 +105,27 @@
     }
   }
   if (!state.ledger.servers.empty()) {
-    state.evaluate_at =
-        std::min(state.evaluate_at, turn.now + kEvaluationInterval);
+    state.next_evaluation_at =
+        std::min(state.next_evaluation_at, context.now + kEvaluationInterval);
   }
 }
 
-void ProcessOutcomes(ControlTurn& turn) {
-  ServerOutcomes& outcomes = turn.instance.outcomes;
-  if (turn.now < outcomes.evaluate_at) {
+void ProcessOutcomes(ControlContext& context) {
+  ServerOutcomes& outcomes = context.instance.outcomes;
+  if (context.now < outcomes.next_evaluation_at) {
     return;
   }
-  ForwardOutcomes(turn);
-  ForgetOutcomes(outcomes.ledger, turn.now);
+  ForwardOutcomes(context);
+  ForgetOutcomes(outcomes.ledger, context.now);
   const bool any_failed = std::any_of(
       outcomes.ledger.servers.begin(), outcomes.ledger.servers.end(),
       [](const auto& item) { return item.second.failed >= 1; });
   if (any_failed || !outcomes.failing.empty()) {
-    EvaluateServers(turn);
+    EvaluateServers(context);
   }
-  outcomes.evaluate_at =
-      outcomes.ledger.servers.empty() ? kNever : turn.now + kEvaluationInterval;
+  outcomes.next_evaluation_at = outcomes.ledger.servers.empty()
+                                    ? kNever
+                                    : context.now + kEvaluationInterval;
 }
 
 }  // namespace filbertwall
--- a/Source/Fleet/ServerReports.cc
+++ b/Source/Fleet/ServerReports.cc
@@ -1,7 +1,7 @@
 #include <algorithm>
 
 #include "Base/Endpoint.h"
-#include "Fleet/ControlTurn.h"
+#include "Fleet/ControlContext.h"
 
 /// Handles reports of backend servers.
 namespace filbertwall {
@@ -13,8 +13,8 @@
 
 }  // namespace
 
-void AnswerPendingReports(ControlTurn& turn) {
-  ControlInstance& instance = turn.instance;
+void AnswerPendingReports(ControlContext& context) {
+  ControlInstance& instance = context.instance;
   std::uint64_t confirmed = 0;
   for (const auto& [address, subscriber] : instance.subscribers) {
     if (subscriber.control) {
@@ -26,45 +26,47 @@
   }
   std::erase_if(instance.reports, [&](const PendingReport& report) {
     if (report.change <= confirmed) {
-      Answer(turn, AnswerCall{.call = report.call,
-                              .verdict = CallVerdict::kAccepted,
-                              .report_next = instance.config.self});
+      Answer(context, AnswerCall{.call = report.call,
+                                 .verdict = CallVerdict::kAccepted,
+                                 .report_next = instance.config.self});
       return true;
     }
-    if (turn.now < report.expires_at) {
+    if (context.now < report.expires_at) {
       return false;
     }
     instance.counters.reports_unconfirmed += 1;
-    Log(turn, EventId::kReportUnconfirmed,
+    Log(context, EventId::kReportUnconfirmed,
         "change=" + std::to_string(report.change) +
             " confirmed=" + std::to_string(confirmed),
         Severity::kWarning);
-    Answer(turn, AnswerCall{.call = report.call,
-                            .verdict = CallVerdict::kUnavailable,
-                            .reason = "no other control instance has it"});
+    Answer(context,
+           AnswerCall{
+               .call = report.call,
+               .verdict = CallVerdict::kUnavailable,
+               .reason = "no other control instance has confirmed the record"});
     return true;
   });
 }
 
-void LogServer(ControlTurn& turn, const wire::ServerRecord& record,
+void LogServer(ControlContext& context, const wire::ServerRecord& record,
                const std::string& source) {
-  Log(turn, EventId::kServerChanged,
+  Log(context, EventId::kServerChanged,
       "server=" + record.id() + " service=" + record.service() +
           " phase=" + wire::ServerPhase_Name(record.phase()) +
           " incarnation=" + std::to_string(record.incarnation()) +
           " sequence=" + std::to_string(record.sequence()) + " from=" + source);
 }
 
-void HandleReport(ControlTurn& turn, const ServerReported& event) {
-  ControlInstance& instance = turn.instance;
+void HandleReport(ControlContext& context, const ServerReported& event) {
+  ControlInstance& instance = context.instance;
   instance.counters.reports += 1;
   const std::string finding = CheckRecord(event.record);
   if (!finding.empty()) {
-    Log(turn, EventId::kAnnouncementRejected,
+    Log(context, EventId::kAnnouncementRejected,
         "server=" + event.record.id() + " " + finding, Severity::kWarning);
-    Answer(turn, AnswerCall{.call = event.call,
-                            .verdict = CallVerdict::kRefused,
-                            .reason = finding});
+    Answer(context, AnswerCall{.call = event.call,
+                               .verdict = CallVerdict::kRefused,
+                               .reason = finding});
     return;
   }
   wire::ServerRecord record = event.record;
@@ -82,27 +84,27 @@
     }
   }
   KeepJudgement(instance.registry, record);
-  if (MergeRecord(instance.registry, record, turn.now)) {
-    LogServer(turn, record, "itself");
-    SchedulePush(turn);
+  if (MergeRecord(instance.registry, record, context.now)) {
+    LogServer(context, record, "itself");
+    SchedulePush(context);
   }
   Server& server = instance.registry.servers.at(record.id());
   if (record.incarnation() >= server.record.incarnation()) {
-    server.reported_at = turn.now;
+    server.reported_at = context.now;
   }
   if (record.phase() == wire::SERVER_READY) {
-    Answer(turn, AnswerCall{.call = event.call,
-                            .verdict = CallVerdict::kAccepted,
-                            .report_next = instance.config.self});
+    Answer(context, AnswerCall{.call = event.call,
+                               .verdict = CallVerdict::kAccepted,
+                               .report_next = instance.config.self});
     return;
   }
   instance.reports.push_back(
       PendingReport{.call = event.call,
                     .change = server.change,
-                    .expires_at = turn.now + kConfirmTimeout});
-  AnswerPendingReports(turn);
+                    .expires_at = context.now + kConfirmTimeout});
+  AnswerPendingReports(context);
   if (!instance.reports.empty()) {
-    PushToControlInstances(turn);
+    PushToControlInstances(context);
   }
 }
 
--- a/Tests/Fleet/CrowdTest.cc
+++ b/Tests/Fleet/CrowdTest.cc
@@ -5,10 +5,11 @@
 
 #include <CppUTest/TestHarness.h>
 
-/// Simulates a fleet of 300 instances, which is restarted at once or gets new
-/// rules: all entry instances then need contents from control instances with
-/// limited processor time. Each message that a control instance receives,
-/// builds, encodes or sends has a cost.
+/// Simulates a fleet of 300 instances. After a restart of all of them, or when
+/// new rules are accepted, all entry instances request contents at once, which
+/// may overload the control instances. The processor time of a control instance
+/// is limited, and each message that it receives, builds, encodes or sends
+/// costs a part of it.
 using namespace filbertwall;
 
 namespace {
@@ -26,7 +27,8 @@
 constexpr double kSendUs = 30;
 /// Cost to build, encode and compress one byte of a message.
 constexpr double kByteUs = 0.03;
-/// Messages that the socket of a control instance holds; more are lost.
+/// Number of messages that the socket buffer of a control instance holds;
+/// further ones are lost.
 constexpr std::size_t kMaxInboxSize = 4000;
 /// Messages that the event loop receives before it checks its timers.
 constexpr int kReceiveBatch = 64;
@@ -34,13 +36,13 @@
 /// Event loop of a control instance.
 struct EventLoop {
   std::deque<FleetWorld::Letter> inbox;
-  double busy_us = 0;  ///< Work that exceeds the time of this step.
+  double busy_us = 0;  ///< Work carried over from earlier steps.
 };
 
 struct SimulatedFleet {
   FleetWorld world;
   std::map<InstanceAddress, EventLoop> loops;
-  double spent_us = 0;  ///< By the control instance being run.
+  double spent_us = 0;  ///< Cost of the work of the current iteration.
   Milliseconds since_report{0};
   std::uint64_t sequence = 1;
 };
--- a/Tests/Fleet/FleetTest.cc
+++ b/Tests/Fleet/FleetTest.cc
@@ -351,8 +351,9 @@
 TEST(Fleet, ServesOnceAMajorityIsBackThoughTheSeedsComeLast) {
   CHECK(SubmitUntilAccepted(this->world, 9));
   Run(this->world, Milliseconds(1500));
-  // Entry instances probe the seeds only every 120 ms. The control instances
-  // that run notify them sooner, at whatever time the third one returns.
+  // Entry instances probe the control instances only every 120 ms. The running
+  // control instances must send them a summary sooner, whatever the time at
+  // which the third one returns.
   for (Milliseconds pause{150}; pause < Milliseconds(270);
        pause += Milliseconds(15)) {
     FleetWorld fresh = this->world;
@@ -386,7 +387,7 @@
   };
   const auto run_flows = [this](int steps, std::uint32_t failed) {
     for (int i = 0; i < steps; ++i) {
-      // One entry instance observes one flow of each server every 200 ms.
+      // One entry instance observes one flow to each server every 200 ms.
       Forwarder& forwarder = this->world.entries.at(kFirstEntry).forwarder;
       for (const auto& [id, index] : forwarder.placement.by_id) {
         OutcomeDelta& delta = forwarder.outcomes.untold[index];
@@ -412,8 +413,8 @@
 }
 
 TEST(Fleet, OutdatedVoterKnowledgeDoesNotCountTowardsAMajority) {
-  // Two voters state the same version, 4 seconds apart. A newer version that
-  // was accepted in between would be missed.
+  // Two voters state the same version, 4 seconds apart. If both counted, a
+  // newer version that was accepted in between would be missed.
   const auto make_update = [](InstanceAddress from, std::uint64_t version) {
     PeerMessage event{.from = from};
     wire::Update& update = *event.message.mutable_update();
--- a/Tests/Fleet/FleetWorld.h
+++ b/Tests/Fleet/FleetWorld.h
@@ -169,8 +169,9 @@
   return call;
 }
 
-/// Submits like an operator: follows redirects and tries the next control
-/// instance until one accepts. Returns false when none has.
+/// Submits a rules file as a client does: follows redirects and otherwise tries
+/// the next control instance until one accepts. Returns false when none accepts
+/// within the limit of attempts.
 inline bool SubmitUntilAccepted(FleetWorld& world, std::uint64_t version) {
   constexpr int kMaxAttempts = 40;
   InstanceAddress to = world.controls.begin()->first;
