--- a/Source/Fleet/Fleet.h
+++ b/Source/Fleet/Fleet.h
@@ -24,7 +24,8 @@
 struct FleetConfig {
   InstanceAddress self = 0;
   std::string data_centre;
-  std::set<InstanceAddress> seeds;  ///< Control instances known at the start.
+  /// Control instances listed in the settings, which are contacted first.
+  std::set<InstanceAddress> seeds;
   /// Number of voters whose disks may be lost at once.
   std::uint32_t tolerated_losses = 1;
   /// Time between two reports of a backend server.
--- a/Tests/Fleet/CrowdTest.cc
+++ b/Tests/Fleet/CrowdTest.cc
@@ -42,7 +42,7 @@
 struct SimulatedFleet {
   FleetWorld world;
   std::map<InstanceAddress, EventLoop> loops;
-  double spent_us = 0;  ///< Cost of the work of the current iteration.
+  double spent_us = 0;  ///< Cost of the current loop iteration.
   Milliseconds since_report{0};
   std::uint64_t sequence = 1;
 };
@@ -58,7 +58,8 @@
 }
 
 void CountSendCost(SimulatedFleet& fleet) {
-  fleet.world.sent = [&fleet](InstanceAddress from, const SendMessage& effect) {
+  fleet.world.on_send = [&fleet](InstanceAddress from,
+                                 const SendMessage& effect) {
     if (fleet.loops.contains(from)) {
       fleet.spent_us += kSendUs + kByteUs * static_cast<double>(
                                                 effect.message.ByteSizeLong());
@@ -148,7 +149,7 @@
   }
 }
 
-InstanceAddress LeaderOf(const SimulatedFleet& fleet) {
+InstanceAddress FindLeader(const SimulatedFleet& fleet) {
   for (const auto& [id, instance] : fleet.world.controls) {
     if (HasLease(instance.replica, fleet.world.now)) {
       return id;
@@ -157,7 +158,7 @@
   return 0;
 }
 
-std::size_t ReadyEntries(const SimulatedFleet& fleet) {
+std::size_t CountReadyEntries(const SimulatedFleet& fleet) {
   std::size_t ready = 0;
   for (const auto& [id, entry] : fleet.world.entries) {
     ready += IsReady(entry) ? 1 : 0;
@@ -170,7 +171,7 @@
   event.file.set_version(version);
   event.file.set_text(ManyRules(version));
   event.file.set_digest("digest" + std::to_string(version));
-  Apply(fleet.world, LeaderOf(fleet), event);
+  Apply(fleet.world, FindLeader(fleet), event);
 }
 
 void RestartAll(SimulatedFleet& fleet) {
@@ -197,32 +198,32 @@
     }
     CountSendCost(this->fleet);
     RunFor(this->fleet, Milliseconds(3000));
-    CHECK(LeaderOf(this->fleet) != 0);
+    CHECK(FindLeader(this->fleet) != 0);
     SubmitRules(this->fleet, 9);
     RunFor(this->fleet, Milliseconds(3000));
-    LONGS_EQUAL(kEntries, ReadyEntries(this->fleet));
+    LONGS_EQUAL(kEntries, CountReadyEntries(this->fleet));
   }
 };
 
 TEST(Crowd, RecoversFromAStopOfEverything) {
   RestartAll(this->fleet);
   RunFor(this->fleet, Milliseconds(2000));
-  const InstanceAddress leader = LeaderOf(this->fleet);
+  const InstanceAddress leader = FindLeader(this->fleet);
   CHECK(leader != 0);
-  LONGS_EQUAL(kEntries, ReadyEntries(this->fleet));
+  LONGS_EQUAL(kEntries, CountReadyEntries(this->fleet));
   for (const auto& [id, entry] : this->fleet.world.entries) {
     CHECK_EQUAL(9, VersionAt(this->fleet.world, id));
   }
   for (int i = 0; i < 30; ++i) {
     RunFor(this->fleet, Milliseconds(100));
-    CHECK_EQUAL(leader, LeaderOf(this->fleet));
+    CHECK_EQUAL(leader, FindLeader(this->fleet));
   }
 }
 
 TEST(Crowd, NinetyPercentServeWithinASecondOfARestart) {
   RestartAll(this->fleet);
   RunFor(this->fleet, Milliseconds(1000));
-  CHECK(ReadyEntries(this->fleet) >= kEntries * 9 / 10);
+  CHECK(CountReadyEntries(this->fleet) >= kEntries * 9 / 10);
 }
 
 TEST(Crowd, NewRulesAreInForceEverywhereWithinTwoSeconds) {
--- a/Tests/Fleet/FleetTest.cc
+++ b/Tests/Fleet/FleetTest.cc
@@ -160,7 +160,7 @@
   CHECK(IsReady(this->world.entries.at(kFirstEntry)));
 }
 
-TEST(Fleet, EntryInstanceBesideAStaleControlInstanceDoesNotServe) {
+TEST(Fleet, EntryInstanceWithOnlyAStaleControlInstanceDoesNotServe) {
   // Control instance 1 misses a version, and is then the only one that the
   // entry instance can reach. Its rules must not be taken for the newest.
   this->world.is_lost = [](InstanceAddress from, InstanceAddress to) {
@@ -256,7 +256,7 @@
   }
 }
 
-TEST(Fleet, AFailedDiskMakesNoPromiseUntilItWorksAgain) {
+TEST(Fleet, FailedDiskPreventsAcceptanceUntilRestored) {
   const InstanceAddress leader = FindLeader(this->world);
   Apply(this->world, leader, ControlInstanceEvent(ControlDiskFailed{}));
   const CallId call = Submit(this->world, leader, 9);
@@ -292,7 +292,7 @@
   }
 }
 
-TEST(Fleet, OpeningPacketsThatWaitedThroughAFreezeAreDropped) {
+TEST(Fleet, OpeningPacketsQueuedDuringAStallAreDropped) {
   EntryInstance& entry = this->world.entries.at(kFirstEntry);
   const FlowPacket opening{.key = {.caller = {.ip = 7, .port = 1},
                                    .address = {.ip = 0x0A000001, .port = 80}},
@@ -319,7 +319,7 @@
   Run(this->world, Milliseconds(500));
   int largest = 0;
   std::size_t records = 0;
-  this->world.sent = [&](InstanceAddress, const SendMessage& effect) {
+  this->world.on_send = [&](InstanceAddress, const SendMessage& effect) {
     if (effect.to == kFirstEntry) {
       largest = std::max(largest, effect.message.update().servers_size());
       records += effect.message.update().servers_size();
@@ -335,7 +335,7 @@
 
 TEST(Fleet, ControlInstancesListReportingServersOnceASecond) {
   std::size_t list_count = 0;
-  this->world.sent = [&](InstanceAddress, const SendMessage& effect) {
+  this->world.on_send = [&](InstanceAddress, const SendMessage& effect) {
     list_count += effect.message.update().heard_size() > 0 ? 1 : 0;
   };
   constexpr int kSeconds = 3;
@@ -348,7 +348,7 @@
   CHECK(list_count > 0);
 }
 
-TEST(Fleet, ServesOnceAMajorityIsBackThoughTheSeedsComeLast) {
+TEST(Fleet, ServesOnceAMajorityIsBackWhenTheSeedsStartLast) {
   CHECK(SubmitUntilAccepted(this->world, 9));
   Run(this->world, Milliseconds(1500));
   // Entry instances probe the control instances only every 120 ms. The running
@@ -376,7 +376,7 @@
   }
 }
 
-TEST(Fleet, AServerThatFailsItsCallersIsMarkedEverywhereAndClearedAgain) {
+TEST(Fleet, AFailingServerIsMarkedEverywhereAndLaterCleared) {
   Report(this->world, 1, "a3", 1);
   Report(this->world, 2, "a4", 1);
   Run(this->world, Milliseconds(500));
--- a/Tests/Fleet/FleetWorld.h
+++ b/Tests/Fleet/FleetWorld.h
@@ -26,7 +26,7 @@
   std::function<bool(InstanceAddress, InstanceAddress)> is_lost =
       [](InstanceAddress, InstanceAddress) { return false; };
   /// Called for each message, including those that are lost.
-  std::function<void(InstanceAddress, const SendMessage&)> sent =
+  std::function<void(InstanceAddress, const SendMessage&)> on_send =
       [](InstanceAddress, const SendMessage&) {};
   struct Letter {
     InstanceAddress from = 0;
@@ -41,7 +41,7 @@
 /// Queues a message for delivery unless it is lost.
 inline void QueueMessage(FleetWorld& world, InstanceAddress from,
                          const SendMessage& effect) {
-  world.sent(from, effect);
+  world.on_send(from, effect);
   if (!world.is_lost(from, effect.to)) {
     world.letters.push_back({.from = from, .message = effect});
   }
