--- a/Tests/Fleet/FleetWorld.h
+++ b/Tests/Fleet/FleetWorld.h
@@ -26,7 +26,7 @@
   std::function<bool(InstanceAddress, InstanceAddress)> is_lost =
       [](InstanceAddress, InstanceAddress) { return false; };
   /// Called for each message, including those that are lost.
-  std::function<void(InstanceAddress, const SendMessage&)> sent =
+  std::function<void(InstanceAddress, const SendMessage&)> on_send =
       [](InstanceAddress, const SendMessage&) {};
   struct Letter {
     InstanceAddress from = 0;
@@ -41,7 +41,7 @@
 /// Queues a message for delivery unless it is lost.
 inline void QueueMessage(FleetWorld& world, InstanceAddress from,
                          const SendMessage& effect) {
-  world.sent(from, effect);
+  world.on_send(from, effect);
   if (!world.is_lost(from, effect.to)) {
     world.letters.push_back({.from = from, .message = effect});
   }
@@ -169,8 +169,9 @@
   return call;
 }
 
-/// Submits like an operator: follows redirects and tries the next control
-/// instance until one accepts. Returns false when none has.
+/// Submits a rules file as a client does: follows redirects and otherwise tries
+/// the next control instance until one accepts. Returns false when none accepts
+/// within the limit of attempts.
 inline bool SubmitUntilAccepted(FleetWorld& world, std::uint64_t version) {
   constexpr int kMaxAttempts = 40;
   InstanceAddress to = world.controls.begin()->first;
