--- a/Source/Forwarding/FlowOutcomes.cc
+++ b/Source/Forwarding/FlowOutcomes.cc
@@ -7,22 +7,22 @@
 
 /// Weight of a new answer in the moving average.
 constexpr double kAverageWeight = 0.05;
-/// An answer shorter than this fraction of the average counts as an error.
+/// A flow fails when its answer is shorter than this fraction of the average.
 constexpr double kShortAnswerRatio = 0.25;
-/// Longer answers enter the average as this multiple of it, so that a single
-/// long answer has a bounded effect.
+/// Answer lengths are capped at this multiple of the average before they are
+/// averaged, to limit the effect of a single long answer.
 constexpr double kMaxRatioToAverage = 8;
 
 }  // namespace
 
-bool RecordAnswer(FlowOutcomes& outcomes, RouteKey address, ServerIndex server,
-                  std::uint32_t length) {
+bool RecordClosedFlow(FlowOutcomes& outcomes, RouteKey address,
+                      ServerIndex server, std::uint32_t length) {
   double& average = outcomes.average_length[address];
   const bool is_short = length < average * kShortAnswerRatio;
-  const double measured =
+  const double capped_length =
       average == 0 ? length
                    : std::min<double>(length, average * kMaxRatioToAverage);
-  average += (average == 0 ? 1 : kAverageWeight) * (measured - average);
+  average += (average == 0 ? 1 : kAverageWeight) * (capped_length - average);
   OutcomeDelta& delta = outcomes.untold[server];
   (is_short ? delta.failed : delta.served) += 1;
   return !is_short;
--- a/Source/Forwarding/FlowOutcomes.h
+++ b/Source/Forwarding/FlowOutcomes.h
@@ -9,13 +9,14 @@
 
 /// Passive health checks: outcomes of flows, inferred from callers' packets.
 ///
-/// A flow counts as failed when its answer is far shorter than the average for
-/// its address (error responses are short), when the caller resets it, or when
-/// it takes much longer than the latency objective. Plain state; not thread
-/// safe.
+/// Only a flow that its server has accepted can fail. It counts as failed when
+/// its answer is far shorter than the average for its address (error responses
+/// are short), when the caller resets it, or when it is still open at
+/// `OpenFlow::fails_at`, well after its latency objective. Plain state; not
+/// thread safe.
 namespace filbertwall {
 
-/// Flow outcomes of one server since the last report.
+/// Numbers of flows of one server since the last report.
 struct OutcomeDelta {
   std::uint32_t served = 0;
   std::uint32_t failed = 0;
@@ -28,12 +29,13 @@
   std::unordered_map<RouteKey, double> average_length;
 };
 
-/// Records a flow that was closed normally after an answer of `length` bytes.
-/// Returns false when the answer is so short that it counts as an error.
-bool RecordAnswer(FlowOutcomes& outcomes, RouteKey address, ServerIndex server,
-                  std::uint32_t length);
+/// Records a flow that was closed normally after an answer of `length` bytes,
+/// and adds the length to the average. Returns false when the answer is so
+/// short that the flow counts as failed.
+bool RecordClosedFlow(FlowOutcomes& outcomes, RouteKey address,
+                      ServerIndex server, std::uint32_t length);
 
-/// Records a flow that its caller reset or that took too long.
+/// Records a failed flow: its caller reset it, or it took too long.
 void RecordFailure(FlowOutcomes& outcomes, ServerIndex server);
 
 }  // namespace filbertwall
--- a/Source/Forwarding/FlowPacket.h
+++ b/Source/Forwarding/FlowPacket.h
@@ -23,18 +23,20 @@
 /// The fields of a caller's packet that the forwarder uses.
 struct FlowPacket {
   FlowKey key;
-  bool opens = false;        ///< Opening packet (SYN), or a retransmission.
-  bool closes = false;       ///< The last packet that the caller sends.
-  bool aborts = false;       ///< The caller has reset the flow.
-  std::uint32_t copies = 0;  ///< Earlier sends of this opening packet.
-  std::uint32_t token = 0;   ///< Identifies the flow's server.
-  /// Acknowledgement number of a later packet: the caller has the answer up to
-  /// this sequence number, which starts anywhere and wraps.
+  bool opens = false;   ///< Opening packet (SYN), or a retransmission of it.
+  bool closes = false;  ///< The last packet that the caller sends.
+  bool aborts = false;  ///< The caller has reset the flow.
+  /// Number of copies of the opening packet that were sent before this one.
+  std::uint32_t copies = 0;
+  std::uint32_t token = 0;  ///< Identifies the flow's server.
+  /// Acknowledgement number, in packets after the opening one. The server's
+  /// initial sequence number is arbitrary, and sequence numbers wrap.
   std::uint32_t received = 0;
-  /// Time after which the caller retransmits an unanswered opening packet, or
-  /// gives up.
+  /// Time from this copy of the opening packet until the caller sends the next
+  /// copy or gives up, unless the server answers before.
   Milliseconds repeat_after{0};
-  Milliseconds repeated_for{0};  ///< Since the first copy was sent.
+  /// Time from the first copy of the opening packet to this one.
+  Milliseconds repeated_for{0};
 };
 
 }  // namespace filbertwall
--- a/Source/Forwarding/Forwarder.cc
+++ b/Source/Forwarding/Forwarder.cc
@@ -49,9 +49,9 @@
 
 /// Whether a new flow is refused for overload. Retransmitted opening packets
 /// never are, because a server may have accepted the flow already.
-bool IsRefusedForLoad(Forwarder& forwarder, const FlowPacket& packet,
-                      const RouteEntry& route, ServiceIndex service,
-                      TimePoint now) {
+bool IsRefusedForOverload(Forwarder& forwarder, const FlowPacket& packet,
+                          const RouteEntry& route, ServiceIndex service,
+                          TimePoint now) {
   const bool subject_to_admission = forwarder.refuses_overload &&
                                     packet.copies == 0 &&
                                     route.objective.count() > 0;
@@ -64,7 +64,7 @@
              now);
 }
 
-/// Removes a flow that its server had accepted from the in-flight count.
+/// Removes a flow from the in-flight count if it is still included.
 void RemoveFromAdmission(Forwarder& forwarder, const OpenFlow& flow) {
   if (flow.answered && !flow.overdue) {
     NoteLeft(forwarder.admission, flow.service);
@@ -82,7 +82,8 @@
   const auto known = forwarder.flows.find(packet.key);
   if (known != forwarder.flows.end()) {
     if (known->second.answered) {
-      // A late retransmission: this server has accepted the flow already.
+      // A delayed copy of the opening packet: this server has already accepted
+      // the flow.
       return Decision{.verdict = Verdict::kForward,
                       .reason = ForwardReason::kToken,
                       .server = known->second.server};
@@ -93,7 +94,7 @@
   }
   const ServiceIndex service =
       ServiceOf(route->second, FlowKeyHash()(packet.key));
-  if (IsRefusedForLoad(forwarder, packet, route->second, service, now)) {
+  if (IsRefusedForOverload(forwarder, packet, route->second, service, now)) {
     forwarder.counters.overload += 1;
     return Reset(ForwardReason::kOverload);
   }
@@ -114,9 +115,9 @@
       .server = *server};
 }
 
-/// Updates how far the answer has arrived. Sequence numbers wrap, and packets
-/// may be reordered. A large step means that two servers have answered the
-/// opening packet, so the answer's length can't be computed.
+/// Updates the highest acknowledgement number. Sequence numbers wrap, and
+/// packets may be reordered. A step of more than 1 MiB means that two servers
+/// have answered the opening packet, so the answer's length is unknown.
 void UpdateAckNumber(OpenFlow& flow, std::uint32_t received) {
   constexpr std::int32_t kMaxStep = 1 << 20;
   const auto step = static_cast<std::int32_t>(received - flow.received);
@@ -127,8 +128,9 @@
   }
 }
 
-/// Reports the duration of a flow to admission control. Overdue flows are left
-/// out: they indicate a broken path or a failing server, not queueing.
+/// Reports the duration of a successful flow to admission control. Overdue
+/// flows are excluded: they indicate a network fault or a failing server, not
+/// queueing.
 void RecordDuration(Forwarder& forwarder, const OpenFlow& flow, bool succeeded,
                     TimePoint now) {
   if (succeeded && flow.answered && !flow.overdue &&
@@ -168,8 +170,8 @@
     RemoveFromAdmission(forwarder, flow);
     if (packet.closes && flow.length_valid) {
       const bool succeeded =
-          RecordAnswer(forwarder.outcomes, KeyOf(packet.key.address),
-                       flow.server, flow.received - flow.first_ack_number);
+          RecordClosedFlow(forwarder.outcomes, KeyOf(packet.key.address),
+                           flow.server, flow.received - flow.first_ack_number);
       RecordDuration(forwarder, flow, succeeded, now);
     } else if (packet.aborts && flow.answered && !flow.overdue) {
       RecordFailure(forwarder.outcomes, flow.server);
@@ -191,7 +193,7 @@
                              : Decision{.verdict = Verdict::kHold,
                                         .reason = ForwardReason::kNotServing};
   }
-  ForgetOpening(forwarder.held, packet.key);
+  DiscardOpening(forwarder.held, packet.key);
   TrackPacket(forwarder, packet, now);
   if (forwarder.routes.dropped.contains(KeyOf(packet.key.address))) {
     forwarder.counters.no_route += 1;
--- a/Source/Forwarding/Forwarder.h
+++ b/Source/Forwarding/Forwarder.h
@@ -19,8 +19,8 @@
 ///
 /// The backend server is chosen when the first packet of a flow arrives. Server
 /// and caller then include the server's token in each packet, so every instance
-/// can forward any later packet without a record of the flow. The flow table
-/// here only feeds placement, admission and outcome counts, and may be lost.
+/// can forward any later packet without a record of the flow. `flows` is used
+/// only for placement, admission and outcome counts, and may be lost.
 /// Not thread safe.
 namespace filbertwall {
 
@@ -28,7 +28,7 @@
   kForward,
   kReset,
   kDrop,
-  kHold,  ///< Store with `HoldOpening` until this instance serves.
+  kHold,  ///< To be stored with `HoldOpening` until this instance serves.
 };
 
 /// Why a packet was forwarded, dropped or reset.
@@ -42,7 +42,7 @@
   kNoServer,      ///< The service has no usable server.
   kOverload,      ///< The answer would miss the latency objective.
   kNotServing,    ///< This instance has not loaded the newest rules yet.
-  kStale,         ///< Queued while this instance was paused.
+  kStale,         ///< See `Forwarder::discard_openings_until`.
 };
 
 struct Decision {
@@ -54,18 +54,26 @@
 /// A flow that was opened through this instance and has not ended.
 struct OpenFlow {
   ServerIndex server = 0;
-  ServiceIndex service = 0;  ///< Service of the server at the time of opening.
+  /// The server's service when the flow was opened. The server may restart with
+  /// another service before the flow ends.
+  ServiceIndex service = 0;
   TimePoint opened_at;
-  TimePoint fails_at;  ///< The flow counts as failed if open after that.
-  TimePoint expires_at;
-  std::uint32_t first_ack_number = 0;  ///< Before any of the answer.
-  std::uint32_t received = 0;          ///< Highest so far.
-  bool length_valid = true;   ///< False once two servers have answered.
+  TimePoint fails_at;    ///< The flow fails if it is still open then.
+  TimePoint expires_at;  ///< The entry is removed then.
+  /// Acknowledgement number of the first packet after the opening one. The
+  /// answer's length is counted from here.
+  std::uint32_t first_ack_number = 0;
+  std::uint32_t received = 0;  ///< Highest acknowledgement number so far.
+  /// False when two servers have answered copies of the opening packet. Their
+  /// sequence numbers differ, so the answer's length is unknown.
+  bool length_valid = true;
   bool answered = false;      ///< The server has accepted the flow.
   bool overdue = false;       ///< Still open at `fails_at`.
   Milliseconds objective{0};  ///< Latency objective; 0: none.
 };
 
+/// Numbers of packets by decision, and of flows. Held and stale packets, and
+/// copies of an opening packet that a server has accepted, are not counted.
 struct ForwarderCounters {
   std::uint64_t forwarded = 0;
   std::uint64_t placed = 0;
@@ -74,16 +82,16 @@
   std::uint64_t unknown_token = 0;
   std::uint64_t no_server = 0;
   std::uint64_t overload = 0;
-  std::uint64_t expired = 0;
+  std::uint64_t expired = 0;  ///< Flows removed at `expires_at`.
 };
 
 struct Forwarder {
   Placement placement;
   RouteTable routes;
   bool serving = false;
-  /// Opening packets are dropped until then, after this instance was paused:
-  /// they were queued meanwhile, and their callers have since opened the flow
-  /// through another instance.
+  /// Opening packets that arrive before this time are dropped. It is set after
+  /// this process was paused: such packets were queued during the pause, and
+  /// their callers have since opened the flow through another instance.
   TimePoint discard_openings_until;
   HeldOpenings held;                ///< Stored until this instance serves.
   std::size_t flow_limit = 100000;  ///< Flows beyond it are not tracked.
@@ -92,9 +100,12 @@
   std::multimap<TimePoint, FlowKey> timers;
   FlowOutcomes outcomes;
   Admission admission;
+  /// Whether new flows are reset when admission control refuses them.
   bool refuses_overload = true;
   ForwarderCounters counters;
-  Histogram first_answer;  ///< Opening packet to the next packet.
+  /// Time from a flow's opening packet to the caller's next packet, in
+  /// microseconds.
+  Histogram first_answer;
 };
 
 /// Decides what to do with a packet. Precondition: `now` never decreases.
--- a/Source/Forwarding/HeldOpenings.cc
+++ b/Source/Forwarding/HeldOpenings.cc
@@ -7,12 +7,14 @@
 
 /// Limit on stored packets.
 constexpr std::size_t kMaxOpenings = 5000;
-/// A released packet must arrive before the caller's next retransmission.
+/// Allowance for network delay: a released packet must reach the server before
+/// the caller's next retransmission.
 constexpr Milliseconds kNetworkDelay{20};
 /// Callers that have waited at most this long may still be served in time.
 constexpr Milliseconds kShortWait{100};
-/// About as long as packets are stored while an instance starts, so that the
-/// release at most doubles the servers' load.
+/// Time in which all packets are released. It is about as long as packets are
+/// stored while an instance starts, so the release at most doubles the servers'
+/// load.
 constexpr Milliseconds kReleaseDuration{400};
 constexpr Milliseconds kReleaseInterval{20};
 
@@ -45,7 +47,7 @@
   return true;
 }
 
-void ForgetOpening(HeldOpenings& held, const FlowKey& key) {
+void DiscardOpening(HeldOpenings& held, const FlowKey& key) {
   held.openings.erase(key);
   std::erase_if(held.queue,
                 [&](const HeldOpening& item) { return item.key == key; });
--- a/Source/Forwarding/HeldOpenings.h
+++ b/Source/Forwarding/HeldOpenings.h
@@ -11,21 +11,20 @@
 
 /// Stores opening packets while a starting instance loads the rules.
 ///
-/// After a full outage, callers retransmit opening packets with a growing
-/// backoff. If a packet that arrives before the rules are loaded were dropped,
-/// its caller would wait for the rest of the backoff. The packet is therefore
-/// stored, but only until the caller retransmits it, because the retransmission
-/// may be answered through another instance. Once the instance serves, the
-/// packets are released in batches, since servers that have only just become
-/// known again could not queue all of them at once. Plain state; not thread
-/// safe.
+/// After an outage of all instances, callers retransmit opening packets with
+/// increasing delays. If a packet that arrives before the rules are loaded were
+/// dropped, its caller would wait until its next retransmission. The packet is
+/// therefore stored, but only until that retransmission, which may be answered
+/// through another instance. Once the instance serves, it releases the packets
+/// in batches, because the servers, which have only just become known again,
+/// could not queue all of them at once. Plain state; not thread safe.
 namespace filbertwall {
 
 struct HeldOpening {
   FlowKey key;
   std::vector<std::uint8_t> bytes;
   TimePoint first_sent_at;  ///< When the caller sent the first copy.
-  TimePoint expires_at;     ///< Last time at which a release is useful.
+  TimePoint expires_at;     ///< The packet is not released from then on.
 };
 
 struct HeldOpenings {
@@ -33,28 +32,30 @@
   /// Packets still to be released, in order; filled by `StartRelease`.
   std::deque<HeldOpening> queue;
   std::size_t batch = 0;  ///< Packets released per interval.
+  /// Time of the next batch; `max` while no packet is queued.
   TimePoint release_at = TimePoint::max();
   std::uint64_t released = 0;  ///< Packets that were released.
-  std::uint64_t lapsed = 0;    ///< Packets that were not stored, or expired.
+  std::uint64_t lapsed = 0;    ///< Packets not stored, or expired in `queue`.
 };
 
 /// Stores a packet, replacing an earlier copy. Returns false when the caller
-/// retransmits too soon for storing to help, or when the limit is reached.
-/// Precondition: the packet opens a flow.
+/// retransmits before a stored packet could reach a server, or when the limit
+/// is reached. Precondition: the packet opens a flow.
 bool HoldOpening(HeldOpenings& held, const FlowPacket& packet,
                  std::span<const std::uint8_t> bytes, TimePoint now);
 
-/// Discards the packet of a flow that was opened through another instance.
-void ForgetOpening(HeldOpenings& held, const FlowKey& key);
+/// Discards the flow's packet, if one is stored. Called for a later packet of
+/// the flow, which shows that another instance has opened the flow.
+void DiscardOpening(HeldOpenings& held, const FlowKey& key);
 
-/// Starts the release. Packets whose callers have waited so briefly that they
-/// may still be served in time come first; then those whose callers would wait
-/// longest until their next retransmission.
+/// Moves all stored packets to `queue`. Packets of callers that have waited at
+/// most 100 ms come first, because these may still be served in time. Within
+/// both groups, packets with the latest `expires_at` come first: without a
+/// release, their callers would wait longest for the next retransmission.
 void StartRelease(HeldOpenings& held, TimePoint now);
 
-/// Removes and returns the next batch if it is due at `now`, without packets
-/// that their callers have retransmitted since. Sets `release_at` to the time
-/// of the next batch.
+/// Removes and returns the next batch, or nothing before `release_at`. Expired
+/// packets are discarded. Sets `release_at` to the time of the next batch.
 std::vector<HeldOpening> ReleaseDue(HeldOpenings& held, TimePoint now);
 
 }  // namespace filbertwall
--- a/Source/Forwarding/RouteTable.h
+++ b/Source/Forwarding/RouteTable.h
@@ -19,7 +19,7 @@
   return static_cast<RouteKey>(address.ip) << 16U | address.port;
 }
 
-/// A weighted part of a route's flows.
+/// A service that receives a share of a route's flows, by weight.
 struct ServiceShare {
   ServiceIndex service = 0;
   std::uint32_t weight = 1;
@@ -28,16 +28,17 @@
 struct RouteEntry {
   std::vector<ServiceShare> shares;
   std::uint32_t total_weight = 0;
-  wire::RequestKind kind = wire::REQUEST_UNSAFE;
-  Milliseconds timeout{0};
-  Milliseconds objective{0};
+  wire::RequestKind kind = wire::REQUEST_UNSAFE;  ///< Unsafe: not retryable.
+  Milliseconds timeout{0};                        ///< Request timeout.
+  Milliseconds objective{0};  ///< Latency objective; 0: none.
   std::uint32_t priority = 0;
 };
 
 struct RouteTable {
   std::uint64_t version = 0;
   std::unordered_map<RouteKey, RouteEntry> routes;
-  /// Removed addresses, with the rules version that removed each.
+  /// Removed addresses, with the rules version that removed each. Packets of
+  /// their open flows are reset rather than forwarded by token.
   std::unordered_map<RouteKey, std::uint64_t> dropped;
 };
 
@@ -47,9 +48,10 @@
 bool ApplyRoutes(RouteTable& table, const wire::RoutesUpdate& update,
                  Placement& placement);
 
-/// Returns the service of a new flow, by the weights of the route's shares. All
-/// copies of an opening packet get the same service. Precondition: the route
-/// has a share with a weight above zero.
+/// Selects the service of a new flow by the flow's hash and the weights of the
+/// route's shares, so that all copies of an opening packet get the same service
+/// while the route is unchanged. Precondition: the route has a share with a
+/// weight above zero.
 ServiceIndex ServiceOf(const RouteEntry& route, std::uint64_t flow_hash);
 
 }  // namespace filbertwall
--- a/Tests/Forwarding/ForwarderTest.cc
+++ b/Tests/Forwarding/ForwarderTest.cc
@@ -275,11 +275,11 @@
   CHECK(sent.at(1) < sent.at(2));
 }
 
-/// Guards against callers that wait up to 800 ms for their next attempt, and
-/// against a burst of released packets. All instances are down for 1.4 s and
-/// load the rules 400 ms after their start, while 100 callers per second open
-/// flows. Callers whose last copy arrives before the instance serves depend on
-/// the stored packet.
+/// Guards against callers that wait up to 800 ms for their next retransmission,
+/// and against a burst of released packets. All instances are down for 1.4 s
+/// and load the rules 400 ms after their start, while 100 callers per second
+/// open flows. A caller whose last copy arrives before the instance serves is
+/// served only if that copy was stored.
 TEST(HeldOpenings, StoredPacketsAreReleasedSoonInSmallBatches) {
   constexpr Milliseconds kOutage{1400};
   constexpr Milliseconds kStartup{400};
@@ -432,11 +432,12 @@
     this->RunFlow(port, 1000);
   }
   this->forwarder.outcomes.untold.clear();
-  // Another server answered as healthy, with different sequence numbers.
+  // A large step in the acknowledgement number: a second server has answered,
+  // with sequence numbers of its own.
   this->RunFlow(100, 0xC0000000);
   this->RunFlow(101, 0x70000000);
   CHECK(this->forwarder.outcomes.average_length.begin()->second < 2000);
-  // The last packet is delivered before one with a higher number.
+  // The closing packet is delayed and carries a lower acknowledgement number.
   const Decision decision = this->Decide(OpeningPacket(102));
   const std::uint32_t token = this->At(decision.server).token;
   this->Decide(LaterPacket(102, token));
