--- a/Source/Flows/FlowChoice.cc
+++ b/Source/Flows/FlowChoice.cc
@@ -9,8 +9,9 @@
 namespace filbertwall {
 namespace {
 
-/// Weighted rendezvous hashing: the candidate with the highest score is chosen.
-/// A change of one weight moves the minimum number of flows.
+/// Returns a candidate's score for weighted rendezvous hashing. The
+/// candidate with the highest score is preferred. A change of one weight moves
+/// the minimum number of flows.
 double RendezvousScore(std::uint64_t flow_hash, const Endpoint& backend,
                        std::uint32_t weight) {
   const std::uint64_t identity =
@@ -29,8 +30,8 @@
   return static_cast<double>(flows) / std::max(weight, 1U);
 }
 
-/// Limit on the owners returned, and so on the instances that are queried about
-/// a flow that its owner does not know.
+/// Limit on the result of `OwnersOf`. It also limits how many instances an
+/// owner queries about an unknown flow.
 constexpr std::size_t kMaxOwners = 16;
 
 /// The two candidates with the highest scores for a flow.
--- a/Source/Flows/FlowOwner.cc
+++ b/Source/Flows/FlowOwner.cc
@@ -7,14 +7,15 @@
 namespace filbertwall {
 namespace {
 
-/// Time to wait for other instances' replies.
+/// Time to wait for all replies to a query.
 constexpr Milliseconds kQueryTimeout{100};
 constexpr std::size_t kMaxPending = 4096;
-// Geneve packets of version 0 never start with this byte.
+/// First byte of a message between instances. Geneve packets of version 0 never
+/// start with it.
 constexpr std::uint8_t kMessageMagic = 0xFB;
 constexpr int kRecordsPerMessage = 30;
 
-std::uint32_t BackendIndex(FlowTier& tier, const Endpoint& backend) {
+std::uint32_t InternBackend(FlowTier& tier, const Endpoint& backend) {
   const auto [item, added] = tier.backend_index.emplace(
       backend, static_cast<std::uint32_t>(tier.backends.size()));
   if (added) {
@@ -24,7 +25,7 @@
   return item->second;
 }
 
-std::uint16_t ServiceIndex(FlowTier& tier, const std::string& service) {
+std::uint16_t InternServiceName(FlowTier& tier, const std::string& service) {
   const auto [item, added] = tier.service_index.emplace(
       service, static_cast<std::uint16_t>(tier.services.size()));
   if (added) {
@@ -33,8 +34,8 @@
   return item->second;
 }
 
-/// Makes room by removing the oldest half-open flow, of which only a SYN was
-/// seen. Returns false when there is none.
+/// Removes the oldest half-open flow to make room for another flow. Returns
+/// false when there is none.
 bool EvictHalfOpen(FlowTurn& turn) {
   FlowTier& tier = turn.tier;
   while (!tier.half_open.empty()) {
@@ -42,7 +43,7 @@
     tier.half_open.pop_front();
     if (entry != nullptr && (entry->flags & kFlowEstablished) == 0) {
       Count(turn, "unproven_evicted");
-      DropFlow(turn, entry);
+      RemoveFlow(turn, entry);
       return true;
     }
   }
@@ -60,8 +61,8 @@
     return nullptr;
   }
   FlowEntry& entry = InsertFlow(tier.table, key);
-  entry.service = ServiceIndex(tier, service);
-  entry.backend = BackendIndex(tier, backend);
+  entry.service = InternServiceName(tier, service);
+  entry.backend = InternBackend(tier, backend);
   entry.last_seen = turn.now_seconds;
   entry.generation =
       static_cast<std::uint16_t>(turn.context.directory.generation);
@@ -82,7 +83,8 @@
       {.index = packet.index, .to = turn.tier.backends[entry.backend]});
 }
 
-/// Opens a flow on its owner and replicates it to the backup, if not 0.
+/// Opens a flow on its owner and forwards the packet. Sends the flow's record
+/// to the backup, if not 0, and to the instance that relayed the packet.
 void OpenAsOwner(FlowTurn& turn, const UnknownPacket& packet,
                  std::uint32_t backup) {
   const auto backend =
@@ -131,8 +133,9 @@
   Count(turn, "asked");
 }
 
-/// Forwards a waiting packet to the backend server that another instance
-/// reported, or, if none did, to the one that a new flow would get.
+/// Forwards the packet that waits for replies about the flow, if there is one.
+/// It goes to the backend server that another instance reported, or, if none
+/// did, to the one that a new flow would get.
 void ResolvePending(FlowTurn& turn, const FlowKey& key) {
   const auto found = turn.tier.pending.find(key);
   if (found == turn.tier.pending.end()) {
@@ -161,7 +164,7 @@
   }
   if (!StillServes(turn, *entry, service)) {
     Count(turn, "service_changed");
-    DropFlow(turn, entry);
+    RemoveFlow(turn, entry);
     return;
   }
   SetNetworkIdentifier(pending.packet, NetworkIdentifierOf(service.name));
@@ -191,14 +194,14 @@
   const Endpoint backend{
       .ip = record.backend_ip(),
       .port = static_cast<std::uint16_t>(record.backend_port())};
-  FlowEntry* held = FindFlow(turn.tier.table, *key);
-  if (held != nullptr) {
-    held->last_seen = turn.now_seconds;
-    held->flags |= kFlowEstablished;
+  FlowEntry* known = FindFlow(turn.tier.table, *key);
+  if (known != nullptr) {
+    known->last_seen = turn.now_seconds;
+    known->flags |= kFlowEstablished;
   } else {
     FlowEntry* entry = AddFlow(turn, *key, record.service(), backend, true);
     if (entry != nullptr) {
-      entry->generation -= 1;  // Forces a check before the first use.
+      entry->generation -= 1;  // Makes `FindValidFlow` call `StillServes`.
     }
   }
   ResolvePending(turn, *key);
@@ -226,7 +229,7 @@
 
 }  // namespace
 
-void HandleMiss(FlowTurn& turn, const UnknownPacket& packet) {
+void HandleUnknownPacket(FlowTurn& turn, const UnknownPacket& packet) {
   const std::vector<std::uint32_t> owners =
       OwnersOf(turn.tier, turn.context.silent, packet.info.key);
   // A relayed packet is never relayed again, even if this instance ranks
--- a/Source/Flows/FlowTable.h
+++ b/Source/Flows/FlowTable.h
@@ -16,20 +16,24 @@
   std::uint16_t destination_port = 0;
   std::uint8_t protocol = 0;  ///< 0: the slot is free.
   std::uint8_t flags = 0;
-  std::uint16_t service = 0;     ///< Index of a service name.
-  std::uint32_t backend = 0;     ///< Index of a backend server's address.
-  std::uint32_t last_seen = 0;   ///< Seconds on the instance's clock.
-  std::uint32_t sequence = 0;    ///< Of the last TCP segment with data.
-  std::uint16_t generation = 0;  ///< Directory generation of the last check.
-  std::uint16_t repeats = 0;     ///< Consecutive retransmissions.
+  std::uint16_t service = 0;    ///< Index of a service name.
+  std::uint32_t backend = 0;    ///< Index of a backend server's address.
+  std::uint32_t last_seen = 0;  ///< Seconds on the instance's clock.
+  std::uint32_t sequence = 0;   ///< Of the last TCP segment with data.
+  /// Generation of the directory for which the backend server's service was
+  /// last checked.
+  std::uint16_t generation = 0;
+  std::uint16_t repeats = 0;  ///< Retransmissions of that segment.
 };
 static_assert(sizeof(FlowEntry) == 32);
 
-/// More than a SYN was seen.
+/// The flow is not half-open: a packet other than a SYN was seen, the flow is
+/// not TCP, or another instance sent its record.
 inline constexpr std::uint8_t kFlowEstablished = 1;
 /// A FIN or RST was seen.
 inline constexpr std::uint8_t kFlowClosing = 2;
-/// Counted as silent (see `repeats`).
+/// The backend server seems not to acknowledge data: `repeats` has reached its
+/// limit. Cleared by a segment with another sequence number.
 inline constexpr std::uint8_t kFlowSilent = 4;
 
 struct FlowTable {
--- a/Source/Flows/FlowTier.cc
+++ b/Source/Flows/FlowTier.cc
@@ -10,9 +10,11 @@
 constexpr std::uint32_t kHalfOpenTimeoutSeconds = 5;
 constexpr std::uint32_t kClosingTimeoutSeconds = 10;
 constexpr std::uint32_t kIdleTimeoutSeconds = 600;
+/// The record of a flow in use is sent to its owners once per interval.
 constexpr std::uint32_t kRefreshIntervalSeconds = 60;
+/// Retransmissions of a segment after which the flow counts as silent.
 constexpr std::uint16_t kSilentAfterRepeats = 4;
-/// Ticks in which the whole table is swept.
+/// Number of ticks after which each slot of the table has been checked.
 constexpr std::size_t kTicksPerSweep = 500;
 
 /// Returns the service of a destination; null when the rules have none, or when
@@ -27,8 +29,8 @@
   return service.protocol == Protocol::kPackets ? &service : nullptr;
 }
 
-/// Whether the flow's owners need a record that the flow is in use. They may
-/// never receive a packet of the flow themselves.
+/// Whether to send the flow's record to its owners, which would otherwise
+/// remove the flow as idle: they may not receive any of its packets themselves.
 bool NeedsRefresh(const FlowTurn& turn, const FlowEntry& entry,
                   const PacketInfo& info) {
   const bool newly_established =
@@ -67,8 +69,8 @@
 
 /// Returns the flow's entry if it is valid. Removes an entry whose service has
 /// changed, or that a SYN reopens after a FIN or RST.
-FlowEntry* FindUsable(FlowTurn& turn, const PacketInfo& info,
-                      const ServiceRule& service) {
+FlowEntry* FindValidFlow(FlowTurn& turn, const PacketInfo& info,
+                         const ServiceRule& service) {
   FlowEntry* entry = FindFlow(turn.tier.table, info.key);
   if (entry == nullptr) {
     return nullptr;
@@ -80,7 +82,7 @@
       entry->generation != generation && !StillServes(turn, *entry, service);
   if (reopened || changed) {
     Count(turn, changed ? "service_changed" : "reopened");
-    DropFlow(turn, entry);
+    RemoveFlow(turn, entry);
     return nullptr;
   }
   entry->generation = generation;
@@ -105,7 +107,7 @@
     Count(turn, "no_service");
     return;
   }
-  FlowEntry* entry = FindUsable(turn, *info, *service);
+  FlowEntry* entry = FindValidFlow(turn, *info, *service);
   if (entry != nullptr) {
     UpdateFlow(turn, *entry, *info);
     SetNetworkIdentifier(datagram.bytes, NetworkIdentifierOf(service->name));
@@ -116,11 +118,11 @@
     }
     return;
   }
-  HandleMiss(turn, UnknownPacket{.index = index,
-                                 .datagram = &datagram,
-                                 .info = *info,
-                                 .service = service,
-                                 .relayed_by = relayed_by});
+  HandleUnknownPacket(turn, UnknownPacket{.index = index,
+                                          .datagram = &datagram,
+                                          .info = *info,
+                                          .service = service,
+                                          .relayed_by = relayed_by});
 }
 
 bool IsExpired(const FlowTurn& turn, const FlowEntry& entry) {
@@ -134,7 +136,8 @@
   return idle > kIdleTimeoutSeconds;
 }
 
-/// Removes expired flows from a part of the table, to bound the time of a tick.
+/// Removes expired flows from the next part of the table. A tick checks only a
+/// part, to bound its duration.
 void Sweep(FlowTurn& turn) {
   FlowTable& table = turn.tier.table;
   std::size_t steps = table.slots.size() / kTicksPerSweep + 1;
@@ -145,7 +148,7 @@
     FlowEntry* entry = &table.slots[turn.tier.sweep_position];
     if (entry->protocol != 0 && IsExpired(turn, *entry)) {
       Count(turn, "ended");
-      DropFlow(turn, entry);
+      RemoveFlow(turn, entry);
     }
   }
 }
@@ -197,7 +200,7 @@
   turn.tier.counters[counter] += 1;
 }
 
-void DropFlow(FlowTurn& turn, FlowEntry* entry) {
+void RemoveFlow(FlowTurn& turn, FlowEntry* entry) {
   turn.tier.flows_per_backend[entry->backend] -= 1;
   EraseFlow(turn.tier.table, entry);
 }
--- a/Source/Flows/FlowTier.h
+++ b/Source/Flows/FlowTier.h
@@ -24,6 +24,7 @@
 /// docs/design/0005-flows.md. Not thread safe.
 namespace filbertwall {
 
+/// A received datagram, sent by the network fabric or by another instance.
 struct Datagram {
   std::span<std::uint8_t> bytes;
   Endpoint from;
@@ -33,18 +34,23 @@
 struct PendingFlow {
   std::vector<std::uint8_t> packet;
   PacketInfo info;
-  std::uint32_t relayed_by = 0;        ///< Instance that relayed it; 0: none.
+  /// Instance that relayed the packet, and that is sent the flow's record; 0:
+  /// none.
+  std::uint32_t relayed_by = 0;
   std::set<std::uint32_t> unanswered;  ///< Instances yet to reply.
   TimePoint expires_at;
 };
 
+/// Connection tracking state of one instance.
 struct FlowTier {
   std::uint32_t self = 0;
   std::uint32_t limit = 1000000;  ///< Maximum number of flows.
   std::map<std::uint32_t, Endpoint> packet_addresses;  ///< Other instances.
   std::map<Endpoint, std::uint32_t> instances;         ///< The reverse.
   FlowTable table;
-  std::deque<FlowKey> half_open;  ///< Oldest first; may list removed flows.
+  /// Flows added as half-open, oldest first. May list flows that have since
+  /// been established or removed.
+  std::deque<FlowKey> half_open;
   std::vector<Endpoint> backends;
   std::map<Endpoint, std::uint32_t> backend_index;
   std::vector<std::uint64_t> flows_per_backend;  ///< By index.
@@ -59,7 +65,7 @@
   const Rules& rules;
   const Directory& directory;
   const std::set<std::uint32_t>& silent;  ///< Instances presumed down.
-  bool stopping = false;                  ///< Has no effect on flows.
+  bool stopping = false;                  ///< Not used.
   TimePoint now;
 };
 
@@ -67,13 +73,15 @@
 struct PacketsArrived {
   std::vector<Datagram> datagrams;
 };
-/// Removes expired flows and ends queries that have timed out.
+/// Removes expired flows from a part of the table, and ends queries that have
+/// timed out.
 struct FlowTick {};
 /// This instance is about to stop; its flows are sent to the other instances.
 struct FlowHandover {};
 using FlowEvent = std::variant<PacketsArrived, FlowTick, FlowHandover>;
 
-/// Forwards datagram number `index` of the event, as modified by `Reduce`.
+/// Forwards datagram number `index` of the event. `Reduce` has modified its
+/// bytes in place if it goes to a backend server.
 struct ForwardedPacket {
   std::size_t index = 0;
   Endpoint to;
@@ -93,7 +101,7 @@
 
 /// Returns the live instances, including this one, ranked by their rendezvous
 /// hash for the flow: the owner first, then its backups. At most 16 are
-/// returned, which is all of them in a deployment of the present size.
+/// returned; present deployments have no more instances than that.
 std::vector<std::uint32_t> OwnersOf(const FlowTier& tier,
                                     const std::set<std::uint32_t>& silent,
                                     const FlowKey& key);
--- a/Source/Flows/FlowTurn.h
+++ b/Source/Flows/FlowTurn.h
@@ -25,33 +25,36 @@
   std::uint32_t relayed_by = 0;  ///< 0: received from the network fabric.
 };
 
-/// Increments a counter.
+/// Increments the counter of that name.
 void Count(FlowTurn& turn, const char* counter);
 /// Removes a flow and updates the number of flows of its backend server.
-void DropFlow(FlowTurn& turn, FlowEntry* entry);
+void RemoveFlow(FlowTurn& turn, FlowEntry* entry);
 
 /// Whether packets of the service may still go to the flow's backend server.
-/// The server may be draining or silent, but must not have changed its service.
+/// False when the entry belongs to another service, or when the server now
+/// announces another one. A draining, silent or unlisted server is accepted.
 bool StillServes(const FlowTurn& turn, const FlowEntry& entry,
                  const ServiceRule& service);
 
-/// Relays the packet to the flow's owner. On the owner, opens the flow or
-/// queries the other instances for it.
-void HandleMiss(FlowTurn& turn, const UnknownPacket& packet);
+/// Relays the packet to the flow's owner. If this instance is the owner or the
+/// packet was relayed to it, opens the flow or queries the other instances.
+void HandleUnknownPacket(FlowTurn& turn, const UnknownPacket& packet);
 /// Ends queries that have timed out.
 void ExpirePending(FlowTurn& turn);
-/// Sends all flows to their owners and backups.
+/// Queues the records of all flows as `ReplicateToOwners` does.
 void HandOverFlows(FlowTurn& turn);
 
-/// Sends the flow's record to the first two instances in rank, other than this
-/// one.
+/// Queues the flow's record for the two highest-ranked instances other than
+/// this one (see `OwnersOf`).
 void ReplicateToOwners(FlowTurn& turn, const FlowEntry& entry);
 /// Queues a record of the flow's backend server for another instance.
 void QueueFlowRecord(FlowTurn& turn, std::uint32_t to, const FlowEntry& entry);
+/// Whether the datagram is a message from another instance, not a packet.
 bool IsFlowMessage(std::span<const std::uint8_t> bytes);
+/// Handles the records and queries of a message. Precondition: `IsFlowMessage`.
 void HandleFlowMessage(FlowTurn& turn, std::uint32_t from,
                        std::span<const std::uint8_t> bytes);
-/// Converts the queued messages into datagrams.
+/// Converts the queued messages into datagrams of at most 30 records.
 void SendFlowMessages(FlowTurn& turn);
 
 }  // namespace filbertwall
--- a/Source/Flows/Packet.h
+++ b/Source/Flows/Packet.h
@@ -22,14 +22,15 @@
 struct PacketInfo {
   FlowKey key;
   bool tcp = false;
-  bool syn = false;       ///< Opens a TCP flow (SYN without ACK).
-  bool fin = false;       ///< FIN or RST.
-  bool has_data = false;  ///< Carries payload.
-  std::uint32_t sequence = 0;
+  bool syn = false;            ///< Opens a TCP flow (SYN without ACK).
+  bool fin = false;            ///< Ends a TCP flow (FIN or RST).
+  bool has_data = false;       ///< Carries payload.
+  std::uint32_t sequence = 0;  ///< TCP sequence number.
 };
 
-/// Parses a datagram. Returns an empty value when it is truncated or of another
-/// kind. Has no side effects.
+/// Parses a datagram. Returns an empty value when it is truncated, a later IP
+/// fragment, or not Geneve with an inner IPv4 TCP or UDP packet. Has no side
+/// effects.
 std::optional<PacketInfo> ReadPacket(std::span<const std::uint8_t> datagram);
 
 /// Sets the virtual network identifier (VNI), which identifies the service to
@@ -43,7 +44,8 @@
 
 std::uint64_t HashFlow(const FlowKey& key);
 
-/// Encodes a key in 13 bytes, for messages between instances.
+/// Encodes a key in 13 bytes, all fields big-endian, for messages between
+/// instances.
 std::string EncodeFlowKey(const FlowKey& key);
 /// Returns an empty value when `bytes` has another length.
 std::optional<FlowKey> DecodeFlowKey(const std::string& bytes);
--- a/Tests/Flows/FlowsTest.cc
+++ b/Tests/Flows/FlowsTest.cc
@@ -225,7 +225,7 @@
   this->tier.instances[peer] = 2;
   std::uint16_t port = 1;
   while (this->Arrive(MakePacket(port, kSyn, 1)).forwarded.at(0).to == peer) {
-    port += 1;  // The peer owns this flow.
+    port += 1;  // Skips flows that the peer owns.
   }
   CHECK_EQUAL(1, this->Arrive(MakePacket(port, kAck, 2)).datagrams.size());
   CHECK_EQUAL(0, this->Arrive(MakePacket(port, kAck, 3)).datagrams.size());
