--- a/Source/Backends/Directory.h
+++ b/Source/Backends/Directory.h
@@ -14,7 +14,7 @@
 /// Directory of the backend servers known to an instance. Each announcement
 /// gives a server a lease, which its next announcement renews.
 ///
-/// Plain data and functions without hidden state; not thread safe.
+/// The functions keep no state outside their arguments. Not thread safe.
 namespace filbertwall {
 
 struct Backend {
@@ -37,17 +37,23 @@
   std::string data_centre;  ///< Of this instance.
   Milliseconds lease{10000};
   std::map<Endpoint, Backend> backends;
-  std::uint64_t digest = 0;      ///< XOR of the digests of all backends.
-  std::uint64_t generation = 0;  ///< Rises when the candidates may change.
+  /// XOR of `ComputeDigest` of all backends. Instances compare it to find out
+  /// whether their directories differ.
+  std::uint64_t digest = 0;
+  /// Incremented when a server is added or removed, or changes its service,
+  /// phase or slots; also by the owner when new rules may change the
+  /// candidates.
+  std::uint64_t generation = 0;
 };
 
 /// Validates an announcement. Returns an error message, or an empty string if
 /// it is valid.
 std::string CheckAnnouncement(const wire::Announcement& announcement);
 
-/// Applies an announcement that is `record.age_ms()` old. Returns false and
-/// changes nothing if one with the same or a later sequence number is known, as
-/// with late, duplicate and reordered copies.
+/// Applies an announcement that the server sent `record.age_ms()` before `now`.
+/// Late, duplicate and reordered copies are ignored: returns false and changes
+/// nothing if an announcement of the server with the same or a later sequence
+/// number is known.
 /// Precondition: `CheckAnnouncement` returns an empty string.
 bool TakeAnnouncement(Directory& directory, const wire::BackendRecord& record,
                       TimePoint now);
@@ -56,24 +62,24 @@
 /// with requests of this instance in flight.
 void ForgetSilent(Directory& directory, TimePoint now);
 
-/// Returns the contribution of one server to `Directory::digest`. The digest is
-/// equal at instances that hold the same servers with the same services, phases
-/// and slots.
+/// Returns a hash of the server's address, service, phase and slots. Instances
+/// that know the same servers with the same values thus have the same
+/// `Directory::digest`.
 std::uint64_t ComputeDigest(const Backend& backend);
 
-/// Returns all records with their current age, to synchronise an instance
-/// whose directory differs.
+/// Returns the records of all servers with their age at `now`. They are sent to
+/// an instance whose directory differs.
 wire::Directory DirectoryMessage(const Directory& directory, TimePoint now);
 
-/// Returns whether the server accepts new requests of the service. A server
-/// with a lapsed lease stays usable while this instance's last result there was
-/// a success within the last lease time.
+/// Returns whether the server announces the service as READY and has a valid
+/// lease. A server whose lease has lapsed also counts as usable if this
+/// instance's last attempt there succeeded, no longer ago than one lease.
 bool IsUsable(const Directory& directory, const Backend& backend,
               const std::string& service, TimePoint now);
 
 /// Returns the usable servers of the service with a weight above 0. If there
-/// are none, returns its READY servers with a lapsed lease, since an attempt at
-/// them may still succeed.
+/// are none, returns the READY servers with a lapsed lease and a weight above
+/// 0, since an attempt there may still succeed.
 std::vector<const Backend*> CandidatesFor(const Directory& directory,
                                           const Rules& rules,
                                           const std::string& service,
--- a/Source/Requests/Balancer.cc
+++ b/Source/Requests/Balancer.cc
@@ -9,12 +9,13 @@
 namespace filbertwall {
 namespace {
 
-/// Time after READY over which a server gets up to its full slots.
+/// Time over which the usable slots of a server rise to the full number after
+/// it became READY.
 constexpr Milliseconds kColdStartRamp{3000};
-/// Age at which the announced load of other instances counts half.
+/// Age of an announcement at which its load of other instances counts half.
 constexpr Milliseconds kAnnouncedLoadHalfLife{1000};
-/// A server is excluded after this many consecutive failures, for a time that
-/// doubles with each further failure.
+/// Number of consecutive failures after which a server is in backoff. Each
+/// further failure doubles the backoff.
 constexpr std::uint32_t kFailuresBeforeBackoff = 3;
 constexpr Milliseconds kInitialBackoff{500};
 constexpr Milliseconds kMaxBackoff{8000};
--- a/Source/Requests/Balancer.h
+++ b/Source/Requests/Balancer.h
@@ -15,7 +15,7 @@
 
 struct ChoiceRequest {
   std::string service;
-  std::uint64_t seed = 0;
+  std::uint64_t seed = 0;            ///< For the random picks.
   std::set<Endpoint> already_tried;  ///< By earlier attempts of the request.
 };
 
@@ -23,27 +23,27 @@
 struct Choice {
   enum class Kind {
     kChosen,  ///< `backend` is the selected server.
-    kFull,    ///< All candidates have all their slots in use.
+    kFull,    ///< No candidate outside backoff has a free slot.
     kNone     ///< No candidate is known for the service.
   };
   Kind kind = Kind::kNone;
   Endpoint backend;
 };
 
-/// Picks two random candidates and returns the one with the lower estimated
-/// load per effective slot. Prefers servers that the request has not tried,
-/// then servers of this data centre. Excludes servers that failed recently
-/// while other candidates remain.
+/// Picks two random candidates with a free slot and returns the one with the
+/// lower estimated load per effective slot and weight. Prefers servers that the
+/// request has not tried, then servers of this data centre. Leaves out servers
+/// that failed recently (in backoff), unless all candidates did.
 Choice ChooseBackend(const Directory& directory, const Rules& rules,
                      const ChoiceRequest& request, TimePoint now);
 
 /// Returns the estimated number of requests in flight at the server: those of
-/// this instance plus the announced ones of other instances. The announced
-/// figure loses weight as it ages.
+/// this instance plus those of other instances by the last announcement. The
+/// latter number decays exponentially with the age of the announcement.
 double EstimatedLoad(const Backend& backend, TimePoint now);
 
 /// Returns the number of slots usable now: the announced slots, capped by the
-/// rules, and ramped up from 1 after the server became ready.
+/// rules. After the server became READY, the number rises linearly from 1.
 double EffectiveSlots(const Backend& backend, const Rules& rules,
                       TimePoint now);
 
--- a/Source/Requests/OrderClaim.cc
+++ b/Source/Requests/OrderClaim.cc
@@ -37,8 +37,9 @@
   claim.next_action_at = turn.context.now + kRecorderTimeout;
 }
 
-/// Sends the claim to all recorders after the first. Concurrent claims are
-/// resolved by the first recorder, so the others are contacted only after it.
+/// Sends the claim to the recorders that have not received it yet. They are
+/// contacted only after the first recorder has granted the claim or timed out,
+/// so that the first one decides between concurrent claims.
 void SendRemainingClaims(RequestTurn& turn, OpenRequest& open) {
   while (open.claim.asked < open.claim.recorders.size()) {
     SendNextClaim(turn, open);
--- a/Source/Requests/OrderLog.cc
+++ b/Source/Requests/OrderLog.cc
@@ -22,7 +22,8 @@
   return record.answer().body().size();
 }
 
-/// Returns `answer_bytes` as it would be with `record` stored under its key.
+/// Returns the value of `answer_bytes` after `record` has replaced the stored
+/// record of its key.
 std::size_t AnswerBytesAfterStoring(const OrderLog& log,
                                     const wire::OrderRecord& record) {
   const auto stored = log.records.find(record.key());
@@ -31,8 +32,8 @@
   return log.answer_bytes - freed + AnswerBytes(record);
 }
 
-/// Stores the record. If its response would exceed the byte limit, stores it
-/// as an INTENT without the response.
+/// Stores the record. If the stored responses would then exceed the byte limit,
+/// stores it as an INTENT without the response.
 void Store(OrderLog& log, const wire::OrderRecord& record, TimePoint now) {
   StoredOrder order{.record = record,
                     .stored_at = now - Milliseconds(record.age_ms())};
@@ -99,7 +100,7 @@
     }
   }
   if (log.records.size() >= log.limit) {
-    // A full log can't store the claim, so it can't confirm a new key.
+    // The claim can't be stored, so the reply must not confirm a new key.
     reply.set_amnesiac(true);
     return reply;
   }
--- a/Source/Requests/OrderLog.h
+++ b/Source/Requests/OrderLog.h
@@ -13,9 +13,12 @@
 /// Idempotency-Key; the recorders of its key are the instances that store its
 /// record.
 ///
-/// A recorder loses all records when it restarts. It then stores claims, but
-/// confirms that a key is new only after it has pulled the records of the
-/// key's other recorders. See docs/design/0003-orders.md. Not thread safe.
+/// Before an instance dispatches an order, it claims the key at the recorders:
+/// each stores the claim as an INTENT and confirms that the key is new to it.
+/// A recorder loses all records when it restarts. After that it still stores
+/// claims, but confirms that a key is new only after it has pulled the records
+/// of the key's other recorders. See docs/design/0003-orders.md. Not thread
+/// safe.
 namespace filbertwall {
 
 struct StoredOrder {
@@ -30,8 +33,8 @@
   std::size_t answer_bytes = 0;  ///< Total size of the stored response bodies.
   std::uint32_t self = 0;
   std::vector<std::uint32_t> pool;  ///< All instances that record orders.
-  /// Instances from which the shared records were not pulled since this
-  /// instance started. Records stored only at both may be lost.
+  /// Instances from which this instance has not pulled records since it
+  /// started. It may lack records of the keys that both of them record.
   std::set<std::uint32_t> unsure_with;
   TimePoint started_at;
   std::map<std::string, StoredOrder> records;
@@ -43,24 +46,28 @@
 std::vector<std::uint32_t> SelectRecorders(
     const std::vector<std::uint32_t>& pool, const std::string& key);
 
-/// Returns whether this recorder would hold a record of the key if one existed.
+/// Returns whether a missing record of the key means that the key is new: that
+/// is, whether none of its recorders is in `unsure_with`.
 bool HasCompleteRecords(const OrderLog& log, const std::string& key);
 
-/// Grants the key to the attempt of the claim, or replies with the existing
-/// record. A grant marked `amnesiac` does not confirm that the key is new. When
+/// Stores the claim and grants the key to its attempt, or replies with the
+/// existing record of another attempt. A grant marked `amnesiac` does not
+/// confirm that the key is new, since records of it may be missing here. When
 /// the log is full, the claim is not granted.
 wire::ClaimReply TakeClaim(OrderLog& log, const wire::Claim& claim,
                            TimePoint now);
 
-/// Records the outcome of an attempt. If the response would exceed
-/// `answer_byte_limit`, the order stays an INTENT and its copies get "unknown".
-/// NOT_RUN with an empty response withdraws a claim that was never dispatched.
+/// Records the outcome of an attempt. If the stored responses would then exceed
+/// `answer_byte_limit`, the order is kept as an INTENT without the response,
+/// and later requests with its key get "unknown". An outcome NOT_RUN without a
+/// response status withdraws a claim whose order was never dispatched: the
+/// INTENT of that attempt is removed.
 void TakeOutcome(OrderLog& log, const wire::OrderRecord& record, TimePoint now);
 
 /// Merges records pulled from the recorder `from`. Of two records of a key, the
-/// one of the later generation is kept, or else the one with an outcome. After
-/// the last page, this recorder can confirm new keys that both recorders share,
-/// unless the sender reports that it lost the shared records as well.
+/// one of the later generation is kept, or else the one with an outcome. The
+/// last page removes `from` from `unsure_with`, unless it lists this instance:
+/// then the sender may lack records of the shared keys as well.
 void MergeRecords(OrderLog& log, std::uint32_t from,
                   const wire::RecordsPage& page, TimePoint now);
 
@@ -70,7 +77,8 @@
                                 TimePoint now);
 
 /// Removes records older than the retention. Once this recorder has run for
-/// longer than that, it can confirm all new keys.
+/// longer than that, it can confirm that any key is new, since all records lost
+/// in its restart would have expired.
 void ExpireOrders(OrderLog& log, TimePoint now);
 
 }  // namespace filbertwall
--- a/Source/Requests/RequestDispatch.cc
+++ b/Source/Requests/RequestDispatch.cc
@@ -8,7 +8,7 @@
 namespace filbertwall {
 namespace {
 
-/// A queued request with less time than this to its deadline is not sent.
+/// Time to the deadline below which a queued request is not sent any more.
 constexpr Milliseconds kMinAttemptTime{5};
 
 void SetDeadlineHeader(HttpRequest& request, Milliseconds remaining) {
@@ -35,7 +35,8 @@
   open.attempt_started_at = now;
   const auto remaining =
       std::chrono::duration_cast<Milliseconds>(open.deadline - now);
-  // The remaining time is shared equally with the retries still allowed.
+  // Divides the remaining time equally between this attempt and the retries
+  // that are left.
   open.attempt_deadline = now + remaining / (open.retries_left + 1);
   turn.tier.attempts[open.attempt] = open.id;
   StartAttempt effect{
@@ -44,11 +45,12 @@
   turn.effects.emplace_back(std::move(effect));
 }
 
-/// Estimates the queueing delay of a request with `ahead` requests before it.
+/// Estimates the queueing delay of a request with `ahead` requests before it,
+/// if as many requests run in parallel as now.
 Milliseconds ExpectedWait(const ServiceLoad& load, std::size_t ahead) {
-  const double servers = std::max(1U, load.running);
+  const double concurrency = std::max(1U, load.running);
   return Milliseconds(static_cast<std::int64_t>(
-      load.mean_service_ms * static_cast<double>(ahead + 1) / servers));
+      load.mean_service_ms * static_cast<double>(ahead + 1) / concurrency));
 }
 
 void Enqueue(RequestTurn& turn, OpenRequest& open) {
@@ -67,7 +69,7 @@
   (interactive ? load.interactive : load.bulk).push_back(open.id);
 }
 
-Choice ChooseFor(RequestTurn& turn, const OpenRequest& open) {
+Choice ChooseBackendFor(RequestTurn& turn, const OpenRequest& open) {
   const ChoiceRequest request{
       .service = open.service,
       .seed = MixHash(turn.tier.next_attempt, turn.tier.incarnation),
@@ -84,7 +86,7 @@
       FinishNotRun(turn, open, "no slot was free in time");
       continue;
     }
-    const Choice choice = ChooseFor(turn, open);
+    const Choice choice = ChooseBackendFor(turn, open);
     if (choice.kind != Choice::Kind::kChosen) {
       return;
     }
@@ -104,7 +106,7 @@
     Enqueue(turn, open);
     return;
   }
-  const Choice choice = ChooseFor(turn, open);
+  const Choice choice = ChooseBackendFor(turn, open);
   switch (choice.kind) {
     case Choice::Kind::kChosen:
       SendAttempt(turn, open, choice.backend);
--- a/Source/Requests/RequestTier.cc
+++ b/Source/Requests/RequestTier.cc
@@ -9,9 +9,10 @@
 namespace filbertwall {
 namespace {
 
-/// Maximum number of attempts of one request, by the result of the last one:
-/// not sent, or refused by the server before running.
+/// Number of attempts after which a request is not dispatched again, if the
+/// last attempt was not sent.
 constexpr std::uint32_t kMaxUnsentAttempts = 6;
+/// The same if the server refused the last attempt before running it.
 constexpr std::uint32_t kMaxRefusedAttempts = 16;
 
 constexpr int kStatusNotRun = 503;
@@ -155,8 +156,9 @@
   backend.last_failure = turn.context.now;
 }
 
-/// Marks the server as full for 10 ms, doubled for each consecutive refusal up
-/// to 80 ms. A refusal means that other instances use its slots.
+/// Marks the server as full: for 10 ms after its first refusal, and twice as
+/// long after each consecutive one, up to 80 ms. A refusal means that other
+/// instances use its slots.
 void RecordRefusal(RequestTurn& turn, const OpenRequest& open) {
   constexpr Milliseconds kInitialPause{10};
   constexpr std::uint32_t kMaxDoublings = 3;
@@ -198,8 +200,8 @@
       CancelRunning(turn, open);
       CloseRequest(turn, open, {});
     }
-    // A non-idempotent request that may run is left to complete, so that its
-    // outcome is recorded.
+    // The server may already run a non-idempotent request, so the attempt is
+    // left to end and its outcome is recorded.
     return;
   }
   FinishNotRun(turn, open, "the caller left");
@@ -226,7 +228,8 @@
   return true;
 }
 
-/// Dispatches a request again that is known not to have run at its last server.
+/// Dispatches the request again after an attempt that did not run. This does
+/// not consume a retry token.
 void RetryOnOtherServer(RequestTurn& turn, OpenRequest& open,
                         std::uint32_t max_attempts) {
   open.tried.insert(open.backend);
@@ -237,6 +240,8 @@
   Dispatch(turn, open);
 }
 
+/// Dispatches the request again after an attempt that may have run, if it is
+/// idempotent and has a retry and a retry token left. Otherwise finishes it.
 void RetryOrGiveUp(RequestTurn& turn, OpenRequest& open,
                    const std::string& reason) {
   open.tried.insert(open.backend);
@@ -394,7 +399,8 @@
   Count(turn, "not_run");
   if (open.phase == RequestPhase::kClaiming ||
       open.phase == RequestPhase::kClaimBackoff) {
-    // This copy was not dispatched, but another copy may have been.
+    // This instance did not dispatch the order, but another instance may have
+    // dispatched a copy.
     WithdrawClaim(turn, open);
     CloseRequest(turn, open,
                  BuildPlainAnswer(kStatusUnknown, "unknown", reason));
--- a/Source/Requests/RequestTier.h
+++ b/Source/Requests/RequestTier.h
@@ -59,20 +59,25 @@
 /// recorders of its key before the order is dispatched.
 struct ClaimState {
   std::vector<std::uint32_t> recorders;  ///< In the order of sending.
-  std::set<std::uint32_t> granted;       ///< Granted and confirmed as new.
-  std::set<std::uint32_t> stored;        ///< All recorders that granted it.
-  std::size_t asked = 0;  ///< Number of recorders the claim was sent to.
-  std::uint64_t attempt = 0;
+  /// Recorders that granted the claim and confirmed the key as new.
+  std::set<std::uint32_t> granted;
+  /// All recorders that granted the claim, also without that confirmation.
+  std::set<std::uint32_t> stored;
+  std::size_t asked = 0;      ///< Number of recorders the claim was sent to.
+  std::uint64_t attempt = 0;  ///< Id of the current claim.
   TimePoint started_at;
-  TimePoint next_action_at;
-  std::uint32_t claim_attempts = 0;
+  TimePoint next_action_at;          ///< When `AdvanceClaim` acts next.
+  std::uint32_t claim_attempts = 0;  ///< Number of claims, with retries.
 };
 
+/// A request that has arrived and is not closed yet.
 struct OpenRequest {
   std::uint64_t id = 0;
   HttpRequest request;
   std::string service;
   std::string key;  ///< Service and Idempotency-Key; empty unless an order.
+  /// From the generation header. A later generation may run an order again
+  /// whose outcome is NOT_RUN.
   std::uint32_t generation = 1;
   bool idempotent = false;
   std::uint32_t retries_left = 0;
@@ -84,8 +89,8 @@
   bool caller_disconnected = false;
   bool may_have_run = false;  ///< An attempt was lost or timed out.
   std::set<Endpoint> tried;
-  std::uint32_t attempts = 0;
-  std::uint64_t attempt = 0;
+  std::uint32_t attempts = 0;  ///< Number of attempts at servers.
+  std::uint64_t attempt = 0;   ///< Id of the current or last attempt.
   TimePoint attempt_started_at;
   TimePoint attempt_deadline;
   Endpoint backend;
@@ -111,10 +116,11 @@
   std::vector<std::uint32_t> recorder_pool;  ///< All entry instances.
   std::uint64_t next_attempt = 1;
   bool stopping = false;
-  std::map<std::uint64_t, OpenRequest> open;
-  /// Attempt id to request id, for both claims and attempts at servers.
+  std::map<std::uint64_t, OpenRequest> open;  ///< By request id.
+  /// Maps the ids of current claims and of running attempts to request ids.
   std::map<std::uint64_t, std::uint64_t> attempts;
-  std::map<std::uint64_t, TimePoint> withdrawn;  ///< Claims withdrawn.
+  /// Maps the ids of withdrawn claims to the time of withdrawal.
+  std::map<std::uint64_t, TimePoint> withdrawn;
   std::map<std::string, ServiceLoad> services;
   std::map<std::string, std::uint64_t> counters;
 };
@@ -123,7 +129,8 @@
 struct RequestContext {
   const Rules& rules;
   Directory& directory;
-  const std::set<std::uint32_t>& silent;  ///< Instances considered down.
+  /// Peers not heard from within the peer time-out, or not at all.
+  const std::set<std::uint32_t>& silent;
   TimePoint now;
 };
 
--- a/Source/Requests/RequestTurn.h
+++ b/Source/Requests/RequestTurn.h
@@ -8,10 +8,9 @@
 /// Internal to Requests: functions shared by the sources of the reducer.
 namespace filbertwall {
 
-/// Time after the start of a claim within which it may lead to a dispatch. A
-/// restarted recorder relies on this limit: it waits 2 s before it pulls
-/// records, by when claims granted before the restart are dispatched or
-/// expired.
+/// Age above which a claim no longer leads to a dispatch. A restarted recorder
+/// relies on this limit: it waits 2 s before it pulls records. By then, each
+/// claim that it granted before the restart has been dispatched or has expired.
 inline constexpr Milliseconds kClaimTimeout{1000};
 
 /// State, inputs and collected effects during the handling of one event.
@@ -24,8 +23,8 @@
 /// Increments the counter.
 void Count(RequestTurn& turn, const std::string& counter);
 
-/// The Finish functions send the response to the caller and close the request,
-/// after which `open` is dangling.
+/// Each of the following Finish functions sends a response to the caller and
+/// closes the request. The reference `open` is invalid afterwards.
 
 /// Returns the backend server's response to the caller and, for an order,
 /// reports it to the recorders as the outcome, unless its body is over 64 KiB.
@@ -52,8 +51,9 @@
 /// Sends a new claim to the first recorder of the order's key.
 void StartClaim(RequestTurn& turn, OpenRequest& open);
 void HandleClaimAnswered(RequestTurn& turn, const ClaimAnswered& event);
-/// Handles the time-outs of a claim: sends it to the remaining recorders,
-/// schedules a retry, or starts the retry.
+/// Handles the time-outs of a claim. When the first recorder does not reply in
+/// time, sends the claim to the others; when these do not, withdraws the claim
+/// and schedules a retry; when the retry is due, starts it.
 void AdvanceClaim(RequestTurn& turn, OpenRequest& open);
 /// Withdraws a claim that was not dispatched from the recorders it was sent to.
 void WithdrawClaim(RequestTurn& turn, OpenRequest& open);
--- a/Source/Transport/Compression.h
+++ b/Source/Transport/Compression.h
@@ -9,8 +9,8 @@
 /// The functions are pure and thread safe.
 namespace filbertwall {
 
-/// Returns the uncompressed length followed by the compressed bytes, or an
-/// empty string when that is not shorter than `plain`.
+/// Returns the uncompressed length in 4 bytes, followed by the compressed
+/// bytes. Returns an empty string when this result is not shorter than `plain`.
 std::string Compress(std::string_view plain);
 
 /// Returns the uncompressed bytes, or nullopt when `compressed` is not an
--- a/Source/Transport/Fragments.h
+++ b/Source/Transport/Fragments.h
@@ -11,9 +11,9 @@
 
 /// Compression, fragmentation and reassembly of messages sent in datagrams.
 ///
-/// There is no acknowledgement or retransmission at this layer: the sender of a
-/// message repeats it until it observes the effect. The caller supplies the
-/// time and does the socket I/O. Not thread safe.
+/// This layer neither acknowledges nor retransmits datagrams. Lost messages are
+/// up to the sender, which repeats a message until it observes its effect. The
+/// caller supplies the time and does the socket I/O. Not thread safe.
 namespace filbertwall {
 
 /// Maximum size of a datagram that `SplitMessage` returns, header included.
@@ -52,7 +52,8 @@
     TimePoint started_at;
   };
 
-  /// Drops expired partial messages, and one more if the table is still full.
+  /// Makes room for one partial message: drops the expired ones, and the one
+  /// with the lowest key if the table is still full.
   void EvictPartialMessages(TimePoint now);
 
   std::map<Key, Partial> partial_messages;
--- a/Tests/Requests/RequestsTest.cc
+++ b/Tests/Requests/RequestsTest.cc
@@ -182,6 +182,7 @@
   CHECK_EQUAL(200, this->answers[1].status());
 }
 
+/// Later copies get the recorded outcome until one asks for a new generation.
 TEST(Requests, NotRunIsFinalForLaterCopies) {
   for (int i = 0; i < 6; ++i) {
     if (i == 0) {
@@ -205,6 +206,8 @@
   CHECK_EQUAL(before + 1, this->started.size());
 }
 
+/// No server is left for the last retry, but the request may have run in one of
+/// the lost attempts.
 TEST(Requests, LookupThatMayHaveRunIsNotReportedAsNotRun) {
   this->Arrive(1, MakeLookup());
   this->EndLastAttempt({.kind = AttemptResult::Kind::kLost});
@@ -289,6 +292,8 @@
   CHECK_EQUAL(422, this->answers[2].status());
 }
 
+/// Another instance may have run a copy of the order, so a stopping instance
+/// must not report it as not run.
 TEST(Requests, CopyRefusedByAStoppingInstanceIsUnknown) {
   this->tier.stopping = true;
   this->Arrive(1, MakeOrder("k"));
@@ -297,6 +302,9 @@
   STRCMP_EQUAL("not-run", this->Outcome(2).c_str());
 }
 
+/// A recorder that lost its records in a restart must not confirm a key as new
+/// before it has pulled the records of the key's other recorders, since the
+/// order would run twice.
 TEST(Requests, RecorderVouchesOnlyForWhatItHasPulled) {
   OrderLog fresh{.self = 1, .pool = {1, 2, 3}, .unsure_with = {2, 3}};
   wire::Claim claim;
@@ -314,7 +322,7 @@
   CHECK(HasCompleteRecords(fresh, "k"));
 }
 
-TEST(Requests, AnswerMemoryIsBounded) {
+TEST(Requests, StoredResponseBytesAreBounded) {
   OrderLog small{.answer_byte_limit = 1000};
   wire::OrderRecord record;
   record.set_phase(wire::DONE);
