--- a/Source/Commands/Commands.cc
+++ b/Source/Commands/Commands.cc
@@ -26,8 +26,9 @@
 using FileArgument = TCLAP::UnlabeledValueArg<std::string>;
 using TextOption = TCLAP::ValueArg<std::string>;
 
-constexpr Milliseconds kAskLimit{7000};
+constexpr Milliseconds kReplyTimeout{7000};
 
+/// Reads a whole file; prints a finding when it can't be read.
 std::optional<std::string> ReadInput(const std::string& path) {
   const auto bytes = LoadFile(path);
   if (!bytes) {
@@ -39,19 +40,20 @@
   return bytes.value();
 }
 
-/// Settings and keys, or nothing after the findings were printed.
-struct Checked {
+/// Settings that parsed without findings, and the keys of the instance.
+struct CheckedSettings {
   Settings settings;
   KeyPair keys;
 };
 
-std::optional<Checked> LoadSettings(const std::string& path) {
+/// Reads settings and keys; prints the findings when there are any.
+std::optional<CheckedSettings> LoadSettings(const std::string& path) {
   const auto text = ReadInput(path);
   if (!text) {
     return std::nullopt;
   }
   ParsedSettings parsed = ParseSettings(*text, path);
-  Checked checked{.settings = parsed.settings};
+  CheckedSettings checked{.settings = parsed.settings};
   const SecuritySettings& security = parsed.settings.security;
   if (security.curve && !security.secret_key_file.empty()) {
     checked.keys = ReadKeyFile(security.secret_key_file, parsed.findings);
@@ -63,12 +65,13 @@
   return checked;
 }
 
-/// A rules file without findings.
+/// A rules file that parsed without findings.
 struct CheckedRules {
   std::string text;
   Rules rules;
 };
 
+/// Reads a rules file; prints the findings when there are any.
 std::optional<CheckedRules> LoadRules(const std::string& path) {
   const auto text = ReadInput(path);
   if (!text) {
@@ -82,8 +85,8 @@
   return CheckedRules{.text = *text, .rules = std::move(parsed.rules)};
 }
 
-/// How an operator's command reaches an instance.
-struct Connection {
+/// The options with which an operator's command connects to an instance.
+struct OperatorConnection {
   TextOption to{"",   "to", "An instance's control_address.",
                 true, "",   "IP:PORT"};
   TextOption key_file{"",    "key", "Key file of the operator (keygen).",
@@ -91,13 +94,14 @@
   TextOption server_key{"",    "server-key", "Public key of the instance.",
                         false, "",           "KEY"};
 
-  explicit Connection(TCLAP::CmdLine& line) {
+  explicit OperatorConnection(TCLAP::CmdLine& line) {
     line.add(this->to);
     line.add(this->key_file);
     line.add(this->server_key);
   }
 
-  /// Empty when nothing answered, or the key file can't be used.
+  /// Returns the reply; an empty envelope when no reply arrived within
+  /// kReplyTimeout or the key file can't be used (its findings are printed).
   wire::Envelope Request(const wire::Envelope& request) {
     KeyPair keys;
     if (this->key_file.isSet()) {
@@ -109,7 +113,7 @@
       }
     }
     return Ask(this->to.getValue(), this->server_key.getValue(), keys, request,
-               kAskLimit);
+               kReplyTimeout);
   }
 };
 
@@ -130,8 +134,8 @@
 
 int RunFleet(TCLAP::CmdLine& line, Arguments& arguments) {
   FileArgument file("settings",
-                    "Settings file (INI); the platform's own when left out.",
-                    false, platform::SettingsPath(), "FILE", line);
+                    "Settings file (INI); default: $FILBERTWALL_CONFIG.", false,
+                    platform::SettingsPath(), "FILE", line);
   line.parse(arguments);
   return platform::RunOnPlatform(file.getValue());
 }
@@ -177,7 +181,7 @@
 
 int RunExplain(TCLAP::CmdLine& line, Arguments& arguments) {
   FileArgument file("rules", "Rules file.", true, "", "FILE", line);
-  TCLAP::UnlabeledMultiArg<std::string> words(
+  TCLAP::UnlabeledMultiArg<std::string> subject_words(
       "subject", "HOST METHOD PATH of a request, or IP:PORT of a flow.", true,
       "WORD", line);
   line.parse(arguments);
@@ -185,12 +189,13 @@
   if (!checked) {
     return kExitFindings;
   }
-  const Explanation explanation = Explain(checked->rules, words.getValue());
+  const Explanation explanation =
+      Explain(checked->rules, subject_words.getValue());
   (explanation.found ? std::cout : std::cerr) << explanation.text;
   return explanation.found ? kExitSuccess : kExitFindings;
 }
 
-int PrintVerdict(const wire::SubmitReply& reply) {
+int PrintSubmitReply(const wire::SubmitReply& reply) {
   switch (reply.verdict()) {
     case wire::ACCEPTED:
       std::cout << "accepted: " << reply.reason() << "\n";
@@ -200,13 +205,13 @@
       return kExitRefused;
     default:
       std::cerr << "unknown: " << reply.reason()
-                << " (resend the same file: it is safe)\n";
+                << " (resubmitting the same file is safe)\n";
       return kExitUnknown;
   }
 }
 
 int RunSubmit(TCLAP::CmdLine& line, Arguments& arguments) {
-  Connection connection(line);
+  OperatorConnection connection(line);
   TextOption operator_name("", "as", "Name of the operator.", true, "", "NAME",
                            line);
   FileArgument file("rules", "Rules file.", true, "", "FILE", line);
@@ -223,13 +228,13 @@
   if (!reply.has_submit_reply()) {
     wire::SubmitReply unknown;
     unknown.set_reason(connection.to.getValue() + " did not answer");
-    return PrintVerdict(unknown);
+    return PrintSubmitReply(unknown);
   }
-  return PrintVerdict(reply.submit_reply());
+  return PrintSubmitReply(reply.submit_reply());
 }
 
 int RunRemoveMember(TCLAP::CmdLine& line, Arguments& arguments) {
-  Connection connection(line);
+  OperatorConnection connection(line);
   TCLAP::UnlabeledValueArg<std::uint32_t> instance(
       "instance", "Id of the control instance.", true, 0, "ID", line);
   line.parse(arguments);
@@ -239,11 +244,11 @@
   if (!reply.has_submit_reply()) {
     return ReportUnreachable(connection.to.getValue());
   }
-  return PrintVerdict(reply.submit_reply());
+  return PrintSubmitReply(reply.submit_reply());
 }
 
 int RunStatus(TCLAP::CmdLine& line, Arguments& arguments) {
-  Connection connection(line);
+  OperatorConnection connection(line);
   line.parse(arguments);
   wire::Envelope request;
   request.mutable_status();
@@ -251,10 +256,10 @@
   if (!reply.has_status_reply()) {
     return ReportUnreachable(connection.to.getValue());
   }
-  constexpr std::int64_t kSilentMs = 2000;
+  constexpr std::int64_t kMaxHeardAgeMs = 2000;
   for (const wire::InstanceStatus& item : reply.status_reply().instances()) {
     const bool heard =
-        item.heard_ms_ago() >= 0 && item.heard_ms_ago() <= kSilentMs;
+        item.heard_ms_ago() >= 0 && item.heard_ms_ago() <= kMaxHeardAgeMs;
     std::cout << "instance " << item.instance() << " version "
               << item.rules_version() << (heard ? " heard" : " not-heard")
               << (item.leader() ? " leader" : "") << "\n";
@@ -263,7 +268,7 @@
 }
 
 int RunDump(TCLAP::CmdLine& line, Arguments& arguments) {
-  Connection connection(line);
+  OperatorConnection connection(line);
   line.parse(arguments);
   wire::Envelope request;
   request.mutable_dump();
@@ -283,7 +288,7 @@
 }
 
 int RunKeygen(TCLAP::CmdLine& line, Arguments& arguments) {
-  FileArgument file("file", "Key file to make.", true, "", "FILE", line);
+  FileArgument file("file", "Key file to create.", true, "", "FILE", line);
   line.parse(arguments);
   const KeyPair keys = MakeKeyPair();
   if (keys.public_key.empty() || !WriteKeyFile(file.getValue(), keys)) {
@@ -319,14 +324,14 @@
   return kCommands;
 }
 
-int PrintUsage(std::ostream& out, int code) {
+int PrintUsage(std::ostream& out, int exit_code) {
   out << "usage: filbertwall COMMAND [ARGUMENTS]\n\ncommands:\n";
   for (const auto& [name, command] : AllCommands()) {
     out << "  " << name << std::string(15 - name.size(), ' ') << command.summary
         << "\n";
   }
   out << "\nfilbertwall COMMAND --help tells more.\n";
-  return code;
+  return exit_code;
 }
 
 }  // namespace
@@ -345,10 +350,10 @@
   }
   TCLAP::CmdLine line(command->second.summary, ' ', "0.1", true);
   line.setExceptionHandling(false);
-  Arguments rest = arguments;
-  rest[0] = program + " " + arguments[0];
+  Arguments command_arguments = arguments;
+  command_arguments[0] = program + " " + arguments[0];
   try {
-    return command->second.run(line, rest);
+    return command->second.run(line, command_arguments);
   } catch (const TCLAP::ExitException& exit) {
     return exit.getExitStatus();
   } catch (const TCLAP::ArgException& error) {
