--- a/Tests/Platform/CallAdapterTest.cc
+++ b/Tests/Platform/CallAdapterTest.cc
@@ -13,7 +13,7 @@
 
 constexpr std::uint16_t kPort = 8166;
 
-Json MakeReport() {
+Json MakeHeartbeat() {
   return {{"Service", "orders"},      {"Address", "10.128.0.9:8080"},
           {"Zone", "providence"},     {"Version", "v1"},
           {"ConcurrencyLimit", 2},    {"State", "ready"},
@@ -26,22 +26,22 @@
 TEST_GROUP(CallAdapter) {
   CallTranslator translator = MakeCallTranslator(kPort);
 
-  FleetCall Read(const std::string& method, const std::string& path,
-                 const std::string& body = "") {
+  FleetCall ParseCall(const std::string& method, const std::string& path,
+                      const std::string& body = "") {
     return this->translator.read(
         HttpCall{.method = method, .path = path, .body = body});
   }
 
-  wire::Answer Write(const std::string& path, const FleetCall& call,
-                     const AnswerCall& answer) {
+  wire::Answer BuildAnswer(const std::string& path, const FleetCall& call,
+                           const AnswerCall& answer) {
     return this->translator.write(HttpCall{.method = "POST", .path = path},
                                   call, answer);
   }
 };
 
-TEST(CallAdapter, ReportNamesTheServer) {
-  const FleetCall call =
-      this->Read("POST", "/api/Instances.Heartbeat/i-7f", MakeReport().dump());
+TEST(CallAdapter, ParsesAHeartbeat) {
+  const FleetCall call = this->ParseCall(
+      "POST", "/api/Instances.Heartbeat/i-7f", MakeHeartbeat().dump());
   const wire::ServerRecord& record = std::get<ReportCall>(call).record;
   STRCMP_EQUAL("i-7f", record.id().c_str());
   STRCMP_EQUAL("orders", record.service().c_str());
@@ -54,36 +54,38 @@
   CHECK_EQUAL(wire::SERVER_READY, record.phase());
 }
 
-TEST(CallAdapter, ReportsOfOtherWritersNameNoServer) {
-  const Json whole = MakeReport();
-  for (const auto& [key, unused] : whole.items()) {
-    for (const Json& other : {Json(nullptr), Json(-1), Json("?"), Json(1e300),
-                              Json::array(), Json::object()}) {
-      Json report = MakeReport();
-      report[key] = other;
-      const FleetCall call =
-          this->Read("POST", "/api/Instances.Heartbeat/i-7f", report.dump());
-      const bool names_server =
+TEST(CallAdapter, WrongTypesInRequiredFieldsAreRejected) {
+  const Json valid_heartbeat = MakeHeartbeat();
+  for (const auto& [key, unused] : valid_heartbeat.items()) {
+    for (const Json& wrong_value :
+         {Json(nullptr), Json(-1), Json("?"), Json(1e300), Json::array(),
+          Json::object()}) {
+      Json heartbeat = MakeHeartbeat();
+      heartbeat[key] = wrong_value;
+      const FleetCall call = this->ParseCall(
+          "POST", "/api/Instances.Heartbeat/i-7f", heartbeat.dump());
+      const bool is_valid_report =
           std::holds_alternative<ReportCall>(call) &&
           CheckRecord(std::get<ReportCall>(call).record).empty();
-      const bool needed =
+      const bool required =
           key == "Address" || key == "State" || key == "ConcurrencyLimit";
-      CHECK_FALSE(needed && names_server);
+      CHECK_FALSE(required && is_valid_report);
     }
   }
   CHECK(std::holds_alternative<MalformedCall>(
-      this->Read("POST", "/api/Instances.Heartbeat/i-7f", "\xff{")));
+      this->ParseCall("POST", "/api/Instances.Heartbeat/i-7f", "\xff{")));
 }
 
-TEST(CallAdapter, LeaveNeedsNoBody) {
-  const FleetCall call = this->Read("POST", "/api/Instances.Deregister/i-7f");
+TEST(CallAdapter, DeregistrationNeedsNoBody) {
+  const FleetCall call =
+      this->ParseCall("POST", "/api/Instances.Deregister/i-7f");
   const wire::ServerRecord& record = std::get<ReportCall>(call).record;
   CHECK_EQUAL(wire::SERVER_GONE, record.phase());
   CHECK_EQUAL(0, record.incarnation());
 }
 
-TEST(CallAdapter, ReportIsAnsweredWithTheNextAddress) {
-  const wire::Answer answer = this->Write(
+TEST(CallAdapter, HeartbeatAnswerHasTheNextEndpoint) {
+  const wire::Answer answer = this->BuildAnswer(
       "/", ReportCall{},
       AnswerCall{.verdict = CallVerdict::kAccepted, .report_next = 0x0A000001});
   LONGS_EQUAL(200, answer.status());
@@ -92,8 +94,8 @@
                                     .c_str());
 }
 
-TEST(CallAdapter, RedirectNamesTheLeaderAndThePath) {
-  const wire::Answer answer = this->Write(
+TEST(CallAdapter, RedirectHasTheLeaderAddressAndThePath) {
+  const wire::Answer answer = this->BuildAnswer(
       "/api/Config.Replace", SubmitCall{},
       AnswerCall{.verdict = CallVerdict::kRedirected, .leader = 0x0A000004});
   LONGS_EQUAL(307, answer.status());
@@ -101,12 +103,12 @@
                answer.headers(1).value().c_str());
 }
 
-TEST(CallAdapter, StatusSaysWhetherToTryElsewhere) {
-  LONGS_EQUAL(503, this->Write("/", SubmitCall{}, AnswerCall{}).status());
-  LONGS_EQUAL(503, this->Write("/", ReadCall{}, AnswerCall{}).status());
-  LONGS_EQUAL(503, this->Write("/", ReportCall{}, AnswerCall{}).status());
-  const FleetCall invalid = this->Read("POST", "/api/Config.Replace", "{");
-  LONGS_EQUAL(400, this->Write("/", invalid, AnswerCall{}).status());
-  const FleetCall unknown = this->Read("GET", "/nothing");
-  LONGS_EQUAL(404, this->Write("/", unknown, AnswerCall{}).status());
+TEST(CallAdapter, StatusDistinguishesUnavailableFromInvalid) {
+  LONGS_EQUAL(503, this->BuildAnswer("/", SubmitCall{}, AnswerCall{}).status());
+  LONGS_EQUAL(503, this->BuildAnswer("/", ReadCall{}, AnswerCall{}).status());
+  LONGS_EQUAL(503, this->BuildAnswer("/", ReportCall{}, AnswerCall{}).status());
+  const FleetCall invalid = this->ParseCall("POST", "/api/Config.Replace", "{");
+  LONGS_EQUAL(400, this->BuildAnswer("/", invalid, AnswerCall{}).status());
+  const FleetCall unknown = this->ParseCall("GET", "/nothing");
+  LONGS_EQUAL(404, this->BuildAnswer("/", unknown, AnswerCall{}).status());
 }
--- a/Tests/Platform/ConfigDocumentTest.cc
+++ b/Tests/Platform/ConfigDocumentTest.cc
@@ -33,8 +33,8 @@
                "HeaderTimeoutMs": 3000, "IdleTimeoutMs": 15000}})");
 }
 
-/// Lists of the documents come in any order.
-Json Sorted(Json document) {
+/// Sorts the lists of a document, whose order is not significant.
+Json SortLists(Json document) {
   for (const char* list : {"Routes", "Services"}) {
     std::sort(document[list].begin(), document[list].end(),
               [](const Json& left, const Json& right) {
@@ -44,7 +44,7 @@
   return document;
 }
 
-bool IsRefused(const Json& document) {
+bool IsRejected(const Json& document) {
   return !ReadDocument(document.dump()).has_value();
 }
 
@@ -52,15 +52,16 @@
 
 TEST_GROUP(ConfigDocument){};
 
-TEST(ConfigDocument, ComesBackAsItWasSent) {
+TEST(ConfigDocument, RoundTripKeepsTheDocument) {
   const Json document = MakeDocument();
   const auto file = ReadDocument(document.dump());
   CHECK(file.has_value());
-  const Json back = Json::parse(WriteDocument(file.value()));
-  STRCMP_EQUAL(Sorted(document).dump().c_str(), Sorted(back).dump().c_str());
+  const Json round_trip = Json::parse(WriteDocument(file.value()));
+  STRCMP_EQUAL(SortLists(document).dump().c_str(),
+               SortLists(round_trip).dump().c_str());
 }
 
-TEST(ConfigDocument, IsARulesFileWithOneRuleALineAndWhoAsked) {
+TEST(ConfigDocument, BecomesARulesFileThatNamesTheRequester) {
   const auto file = ReadDocument(MakeDocument().dump());
   const ParsedRules parsed = ParseRules(file.value().text(), "rules");
   LONGS_EQUAL(0, parsed.findings.size());
@@ -70,59 +71,60 @@
                parsed.rules.addresses.begin()->second.origin.asker.c_str());
 }
 
-TEST(ConfigDocument, CutShortIsRefused) {
+TEST(ConfigDocument, TruncatedDocumentIsRejected) {
   const std::string text = MakeDocument().dump();
   for (std::size_t length = 0; length < text.size(); ++length) {
     CHECK_FALSE(ReadDocument(text.substr(0, length)).has_value());
   }
 }
 
-TEST(ConfigDocument, UnknownServiceIsRefused) {
+TEST(ConfigDocument, UnknownServiceIsRejected) {
   Json document = MakeDocument();
   document["Routes"][0]["Service"] = "nobody";
-  CHECK(IsRefused(document));
+  CHECK(IsRejected(document));
   document = MakeDocument();
   document["Routes"][1]["Backends"][0]["Service"] = "nobody";
-  CHECK(IsRefused(document));
+  CHECK(IsRejected(document));
 }
 
-TEST(ConfigDocument, TwoRoutesOfOneAddressAreRefused) {
+TEST(ConfigDocument, TwoRoutesWithTheSameAddressAreRejected) {
   Json document = MakeDocument();
   document["Routes"][0]["PathPrefix"] = "/8443/";
-  CHECK(IsRefused(document));
+  CHECK(IsRejected(document));
 }
 
-TEST(ConfigDocument, TimeLimitMustBeAboveZero) {
+TEST(ConfigDocument, TimeoutMustBeAboveZero) {
   for (const Json& value : {Json(0), Json(-1), Json("5"), Json(nullptr)}) {
     Json document = MakeDocument();
     document["Routes"][0]["TimeoutMs"] = value;
-    CHECK(IsRefused(document));
+    CHECK(IsRejected(document));
   }
   Json document = MakeDocument();
   document["Routes"][0].erase("TimeoutMs");
-  CHECK(IsRefused(document));
+  CHECK(IsRejected(document));
 }
 
-TEST(ConfigDocument, WeightsMustAddUpToSomething) {
+TEST(ConfigDocument, SumOfWeightsMustBeAboveZero) {
   Json document = MakeDocument();
   document["Routes"][1]["Backends"][0]["Weight"] = 0;
-  CHECK_FALSE(IsRefused(document));
+  CHECK_FALSE(IsRejected(document));
   document["Routes"][1]["Backends"][1]["Weight"] = 0;
-  CHECK(IsRefused(document));
+  CHECK(IsRejected(document));
   document["Routes"][1]["Backends"][1].erase("Weight");
-  CHECK(IsRefused(document));
+  CHECK(IsRejected(document));
 }
 
-TEST(ConfigDocument, OtherTypesAreRefusedAndNeverThrow) {
-  const Json whole = MakeDocument();
-  for (const auto& [key, value] : whole.items()) {
-    for (const Json& other : {Json(nullptr), Json("x"), Json(-3), Json(1.5),
-                              Json::array({1}), Json::object({{"a", 1}})}) {
-      Json document = whole;
-      document[key] = other;
+TEST(ConfigDocument, WrongTypesNeverThrowAndVersionIsChecked) {
+  const Json valid_document = MakeDocument();
+  for (const auto& [key, value] : valid_document.items()) {
+    for (const Json& wrong_value :
+         {Json(nullptr), Json("x"), Json(-3), Json(1.5), Json::array({1}),
+          Json::object({{"a", 1}})}) {
+      Json document = valid_document;
+      document[key] = wrong_value;
       const bool accepted = ReadDocument(document.dump()).has_value();
-      const bool text_or_number = key == "Version" && accepted;
-      CHECK_FALSE(text_or_number);
+      const bool accepted_version = key == "Version" && accepted;
+      CHECK_FALSE(accepted_version);
     }
   }
   for (const char* text : {"", "[]", "7", "null", "{\"Version\":"}) {
--- a/Tests/Platform/PacketAdapterTest.cc
+++ b/Tests/Platform/PacketAdapterTest.cc
@@ -11,9 +11,9 @@
 
 namespace {
 
-/// The example of the platform's pages: a SYN from 100.64.0.7:40001 to
-/// 198.18.0.1:443.
-std::vector<std::uint8_t> MakeOpening() {
+/// Returns the example from the platform's documentation: a SYN from
+/// 100.64.0.7:40001 to 198.18.0.1:443.
+std::vector<std::uint8_t> MakeSyn() {
   return {0x44, 0x33, 0x22, 0x11, 0x00, 0x00, 0x00, 0x00, 0xd5, 0xc3, 0xb2,
           0xa1, 0x07, 0x00, 0x40, 0x64, 0x01, 0x00, 0x12, 0xc6, 0x41, 0x9c,
           0xbb, 0x01, 0x00, 0x00, 0x01, 0x00, 0x00, 0x00, 0x00, 0x00};
@@ -23,9 +23,9 @@
 
 TEST_GROUP(PacketAdapter) { PacketCodec codec = MakePacketCodec(); };
 
-TEST(PacketAdapter, OpeningPacketIsRead) {
+TEST(PacketAdapter, ParsesASyn) {
   FlowPacket packet;
-  CHECK(this->codec.parse(MakeOpening(), packet));
+  CHECK(this->codec.parse(MakeSyn(), packet));
   CHECK(packet.opens);
   CHECK_FALSE(packet.closes);
   STRCMP_EQUAL("100.64.0.7:40001", FormatEndpoint(packet.key.caller).c_str());
@@ -33,10 +33,10 @@
   CHECK_EQUAL(0, packet.token);
 }
 
-TEST(PacketAdapter, CopiesOfAnOpeningPacketTellWhenTheNextOneComes) {
+TEST(PacketAdapter, CopyCountOfASynGivesTheTimeToTheNextCopy) {
   const std::array<int, 5> expected = {200, 400, 800, 0, 0};
   for (std::uint8_t copies = 0; copies < expected.size(); ++copies) {
-    std::vector<std::uint8_t> bytes = MakeOpening();
+    std::vector<std::uint8_t> bytes = MakeSyn();
     bytes[4] = copies;
     FlowPacket packet;
     CHECK(this->codec.parse(bytes, packet));
@@ -44,28 +44,28 @@
   }
 }
 
-TEST(PacketAdapter, ResetIsThatOfThePages) {
+TEST(PacketAdapter, ResetMatchesThePlatformExample) {
   const std::vector<std::uint8_t> expected = {
       0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00,
       0x00, 0x01, 0x00, 0x12, 0xc6, 0x07, 0x00, 0x40, 0x64, 0xbb, 0x01,
       0x41, 0x9c, 0x00, 0x00, 0x02, 0x00, 0x00, 0x00, 0x00, 0x00};
   std::array<std::uint8_t, 64> out{};
-  const std::size_t length = this->codec.write_reset(MakeOpening(), out);
+  const std::size_t length = this->codec.write_reset(MakeSyn(), out);
   CHECK(std::vector<std::uint8_t>(out.begin(), out.begin() + length) ==
         expected);
 }
 
-TEST(PacketAdapter, StampChangesTheTokenOnly) {
-  std::vector<std::uint8_t> bytes = MakeOpening();
+TEST(PacketAdapter, WritingTheTokenKeepsTheOtherFields) {
+  std::vector<std::uint8_t> bytes = MakeSyn();
   this->codec.stamp(bytes, 0x7f3a91c2);
   FlowPacket packet;
   CHECK(this->codec.parse(bytes, packet));
   CHECK_EQUAL(0x7f3a91c2, packet.token);
-  const std::vector<std::uint8_t> before = MakeOpening();
-  CHECK(std::equal(bytes.begin(), bytes.begin() + 28, before.begin()));
+  const std::vector<std::uint8_t> original = MakeSyn();
+  CHECK(std::equal(bytes.begin(), bytes.begin() + 28, original.begin()));
 }
 
-TEST(PacketAdapter, HeadIsTheNumberBigEndian) {
+TEST(PacketAdapter, ServerNumberIsBigEndian) {
   std::array<std::uint8_t, 16> out{};
   LONGS_EQUAL(8, this->codec.write_head(0x92c3923b0d, out));
   const std::array<std::uint8_t, 8> expected = {0,    0,    0,    0x92,
@@ -73,9 +73,9 @@
   CHECK(std::equal(expected.begin(), expected.end(), out.begin()));
 }
 
-TEST(PacketAdapter, OtherLengthsAreNoPackets) {
+TEST(PacketAdapter, WrongLengthsAreRejected) {
   FlowPacket packet;
-  std::vector<std::uint8_t> bytes = MakeOpening();
+  std::vector<std::uint8_t> bytes = MakeSyn();
   bytes.push_back(0);
   CHECK_FALSE(this->codec.parse(bytes, packet));
   std::mt19937 random(3);
