--- a/Source/Node/Node.cc
+++ b/Source/Node/Node.cc
@@ -42,7 +42,7 @@
   Node& node = turn.node;
   const TimePoint earliest_end =
       node.stop_deadline - node.settings.drain_limit + kMinDrain;
-  // Callers may still be routed here before `earliest_end`; they are served.
+  // The fabric may send requests here until `earliest_end`; they are served.
   node.requests.stopping = node.stopping && turn.now >= earliest_end;
   const bool idle = node.requests.open.empty() && node.requests.stopping;
   if (!node.stopped && node.stopping &&
--- a/Source/Node/Node.h
+++ b/Source/Node/Node.h
@@ -26,16 +26,19 @@
 /// order. Not thread safe.
 namespace filbertwall {
 
-/// What this instance knows of another one by its messages.
+/// State of another instance, as its hellos report it.
 struct Peer {
   PeerSettings settings;
-  wire::Hello hello;  ///< The last one received.
+  wire::Hello hello;  ///< The last hello received.
   TimePoint heard_at;
-  bool heard = false;  ///< A hello was received since the start.
+  bool heard = false;  ///< A hello was received since this process started.
   bool alive = false;  ///< Neither timed out nor stopping.
   std::uint32_t consecutive_hellos = 0;
-  std::uint32_t digest_mismatches = 0;  ///< Consecutive, of the directory.
-  bool records_pulled = false;  ///< All its order records were received.
+  /// Consecutive hellos with a directory digest that differs from the local
+  /// one.
+  std::uint32_t digest_mismatches = 0;
+  /// All order records of the instance were received since its last restart.
+  bool records_pulled = false;
 };
 
 /// The sender of a submission, which receives its verdict.
@@ -46,7 +49,7 @@
 };
 
 /// A change whose verdict is pending. It is retried until it expires. A retry
-/// is safe, because it gets the verdict of the first attempt.
+/// is safe: the change is applied once, and each attempt gets the same verdict.
 struct Submission {
   Submitter submitter;
   wire::Change change;
@@ -61,11 +64,11 @@
   std::uint64_t incarnation = 0;
   bool has_replica = false;
   Replica replica;
-  wire::RulesFile rules_file;  ///< In force; version 0: none yet.
+  wire::RulesFile rules_file;  ///< The one in force; version 0: none yet.
   Rules rules;
-  bool serving = false;   ///< The rules were confirmed since the start.
+  bool serving = false;   ///< Accepts requests and packets; see ConfirmRules.
   bool stopping = false;  ///< A graceful stop has begun.
-  bool stopped = false;   ///< It has ended; the process may exit.
+  bool stopped = false;   ///< The stop has ended; the process may exit.
   TimePoint started_at;
   TimePoint stop_deadline;  ///< Latest end of a graceful stop.
   TimePoint next_hello_at;
@@ -74,18 +77,19 @@
   TimePoint next_rules_pull_at;    ///< Earliest next request for newer rules.
   TimePoint next_records_pull_at;  ///< Next request for order records.
   std::map<std::uint32_t, Peer> peers;
-  std::set<std::uint32_t> silent;  ///< Peers that are not alive.
+  std::set<std::uint32_t> silent;  ///< Ids of the peers that are not alive.
   Directory directory;
   OrderLog orders;
   RequestTier requests;
   FlowTier flows;
   std::map<std::uint64_t, Submission> submissions;  ///< By token.
-  std::uint64_t next_token = 1;
+  std::uint64_t next_token = 1;    ///< Identifier of the next submission.
   std::uint32_t known_leader = 0;  ///< 0: none known.
-  std::map<std::string, std::uint64_t> counters;
+  std::map<std::string, std::uint64_t> counters;  ///< By name in the dump.
 };
 
 struct NodeStarted {};
+/// Sent at short intervals; timeouts and periodic work are due at a tick.
 struct NodeTick {};
 /// A message from an operator if `client` is set, else from another instance.
 struct MessageArrived {
@@ -94,13 +98,13 @@
 };
 /// A backend server's announcement over HTTP.
 struct AnnouncementArrived {
-  std::uint64_t id = 0;
+  std::uint64_t id = 0;  ///< HTTP request; its response repeats the id.
   std::string json;
 };
-/// A health check: the fabric sends packets and requests here only if it
-/// succeeds.
+/// A health check by the fabric, which sends packets and requests only to
+/// instances whose health check succeeds.
 struct HealthAsked {
-  std::uint64_t id = 0;
+  std::uint64_t id = 0;  ///< HTTP request; its response repeats the id.
 };
 struct StopRequested {};
 using NodeEvent =
@@ -116,6 +120,8 @@
   std::string client;
   wire::Envelope envelope;
 };
+/// Appends a record to the durable log of the local replica. Later effects are
+/// executed only after the record is stored.
 struct PersistControl {
   wire::DurableRecord record;
 };
@@ -125,7 +131,7 @@
 };
 /// Sends the HTTP response to an announcement or a health check.
 struct AnswerLocal {
-  std::uint64_t id = 0;
+  std::uint64_t id = 0;  ///< HTTP request to respond to.
   int status = 200;
   std::string json;
 };
--- a/Source/Node/NodeOperator.cc
+++ b/Source/Node/NodeOperator.cc
@@ -179,7 +179,7 @@
     present = present || member.instance() == remove.instance();
   }
   if (!present) {
-    Reply(turn, submitter, wire::REFUSED, "no such voter");
+    Reply(turn, submitter, wire::REFUSED, "the instance is not a voter");
     return;
   }
   wire::Change change;
--- a/Source/Node/NodeOrders.cc
+++ b/Source/Node/NodeOrders.cc
@@ -1,6 +1,7 @@
 #include "Node/NodeTurn.h"
 
-/// Records orders, and pulls the records of other recorders after a restart.
+/// Stores order records (see Requests/OrderLog.h), and pulls those of other
+/// recorders after a restart.
 namespace filbertwall {
 namespace {
 
--- a/Source/Node/NodePeers.cc
+++ b/Source/Node/NodePeers.cc
@@ -1,15 +1,17 @@
 #include "Base/Hash.h"
 #include "Node/NodeTurn.h"
 
-/// Detects failed peers by periodic hellos, and repairs differences in rules
-/// and directory that their versions and digests show.
+/// Detects failed peers by periodic hellos. A hello carries the sender's rules
+/// version and directory digest; where these differ, rules or directory are
+/// sent again.
 namespace filbertwall {
 namespace {
 
 constexpr Milliseconds kHelloInterval{400};
-/// Consecutive hellos until a silent peer counts as alive.
+/// Number of consecutive hellos after which a peer counts as alive.
 constexpr std::uint32_t kHellosUntilAlive = 2;
-/// Consecutive hellos with another digest until the directory is sent.
+/// Number of consecutive hellos with a different digest after which the
+/// directory is sent.
 constexpr std::uint32_t kMismatchesUntilRepair = 2;
 
 wire::Hello MakeHello(const Node& node, TimePoint now) {
--- a/Source/Node/NodeRules.cc
+++ b/Source/Node/NodeRules.cc
@@ -45,15 +45,15 @@
   return std::nullopt;
 }
 
-/// Whether all peers are alive or have had `kPeerTimeout` to send hellos. An
-/// instance that served earlier would treat flows and orders known to other
-/// instances as unknown.
+/// Whether all peers are alive, or `kPeerTimeout` has passed since the start.
+/// An instance that served before this would handle flows and orders that other
+/// instances know as unknown ones.
 bool PeerStatusKnown(const Node& node, TimePoint now) {
   return node.silent.empty() || now - node.started_at >= kPeerTimeout;
 }
 
-/// Lets this recorder vouch for all keys if no rules file was ever accepted:
-/// no order can have been served before.
+/// Marks the order records as complete if no rules file was ever accepted: no
+/// order can have been served before.
 void ClearUnsureForNewDeployment(NodeTurn& turn, std::uint64_t required) {
   if (required == 0 && !turn.node.orders.unsure_with.empty()) {
     turn.node.orders.unsure_with.clear();
--- a/Source/Node/NodeTurn.h
+++ b/Source/Node/NodeTurn.h
@@ -12,7 +12,7 @@
 /// An instance is considered down after this time without a hello.
 inline constexpr Milliseconds kPeerTimeout{2000};
 
-/// Context of one reducer call.
+/// Context of one call of `Reduce`: its node and time, and the effects so far.
 struct NodeTurn {
   Node& node;
   TimePoint now;
@@ -24,19 +24,23 @@
 void SendPeer(NodeTurn& turn, std::uint32_t to, wire::Envelope envelope);
 void SendToEntryPeers(NodeTurn& turn, const wire::Envelope& envelope);
 
+/// Passes an event to the local replica and handles the effects it returns.
 void RunReplica(NodeTurn& turn, const ControlEvent& event);
+/// Passes an event to the request tier and handles the effects it returns.
 void RunRequests(NodeTurn& turn, const RequestEvent& event);
 
 /// Puts a rules file in force if its version is higher than the current one.
 void TakeRules(NodeTurn& turn, const wire::RulesFile& file);
-/// Starts serving once the local rules are at least as new as any rules that
-/// this instance can have served before its restart.
+/// Starts serving once the local rules are at least as new as those known to
+/// a leader with a lease or to voters that are a majority of the control
+/// instances, and each peer is alive or has timed out.
+/// An instance thus never serves older rules than before its restart.
 void ConfirmRules(NodeTurn& turn);
 
 /// Sends a hello to each peer when the next one is due.
 void SendHellos(NodeTurn& turn);
 void HandleHello(NodeTurn& turn, std::uint32_t from, const wire::Hello& hello);
-/// Marks peers that exceeded `kPeerTimeout` as silent.
+/// Marks peers as not alive after `kPeerTimeout` without a hello.
 void CheckPeerTimeouts(NodeTurn& turn);
 
 void HandleAnnouncement(NodeTurn& turn, const AnnouncementArrived& event);
@@ -44,8 +48,8 @@
 
 void HandleClaim(NodeTurn& turn, std::uint32_t from, const wire::Claim& claim);
 void HandleOutcome(NodeTurn& turn, const wire::Outcome& outcome);
-/// Requests the order records of peers until this recorder may vouch for
-/// all keys.
+/// Requests the order records of other entry instances. Once all are merged,
+/// this recorder can again confirm for every key that the key is new.
 void PullRecords(NodeTurn& turn);
 void HandleRecordsPull(NodeTurn& turn, std::uint32_t from,
                        const wire::RecordsPull& pull);
--- a/Source/Rules/Rules.h
+++ b/Source/Rules/Rules.h
@@ -13,7 +13,7 @@
 
 enum class Protocol { kHttp, kPackets };
 
-/// What the choice of servers favours when a service's set of backend servers
+/// Goal of server selection when the set of backend servers of a service
 /// changes.
 enum class Preference {
   kStability,  ///< The fewest broken flows.
@@ -24,6 +24,7 @@
 /// method.
 enum class Idempotence { kByMethod, kYes, kNo };
 
+/// Priority in the queue: interactive requests are dispatched before bulk ones.
 enum class TrafficClass { kInteractive, kBulk };
 
 /// Line of a rule in the file, and who requested it.
@@ -32,7 +33,8 @@
   std::string asker;  ///< The NAME in the comment `# by: NAME`.
 };
 
-/// Properties of a service that are stored for readers of the rules.
+/// Properties of a service that do not affect server selection. They are stored
+/// and returned to clients that read the rules.
 struct ServiceDetails {
   std::string health_path;
   std::string application = "h1";  ///< Protocol inside the flows.
@@ -79,7 +81,8 @@
   Origin origin;
 };
 
-/// Limits on requests, for the instances between caller and server to enforce.
+/// Limits on request size and timeouts. They are stored and returned to clients
+/// that read the rules; the instances between caller and server enforce them.
 struct BoundsRule {
   std::uint32_t header_bytes = 0;
   std::uint32_t body_bytes = 0;
@@ -95,7 +98,7 @@
   std::string path;    ///< Prefix of the request's path.
   Milliseconds deadline{2000};
   std::uint32_t retries = 0;
-  std::uint32_t queue = 64;  ///< Maximum length of the queue.
+  std::uint32_t queue = 64;  ///< Maximum number of requests queued ahead.
   Idempotence idempotence = Idempotence::kByMethod;
   TrafficClass traffic_class = TrafficClass::kBulk;
   Origin origin;
@@ -108,7 +111,8 @@
   Origin origin;
 };
 
-/// Maximum number of slots used at each backend server of a service.
+/// Upper limit on the slots of each backend server of a service. It applies
+/// where a server announces more. A slot serves one request at a time.
 struct LimitRule {
   std::string service;
   std::uint32_t slots = 0;
--- a/Source/Rules/RulesParser.cc
+++ b/Source/Rules/RulesParser.cc
@@ -222,8 +222,8 @@
   rule.service = rule.shares.front().service;
 }
 
-void ParseTreatment(Parser& parser, const std::vector<std::string>& words,
-                    RouteTreatment& treatment) {
+void ParseRouteSettings(Parser& parser, const std::vector<std::string>& words,
+                        RouteTreatment& treatment) {
   const Options options = ParseOptions(
       parser, words, 3,
       {"name", "kind", "timeout", "objective", "priority", "attempts"});
@@ -271,7 +271,7 @@
   }
   AddressRule rule{.origin = parser.origin};
   ParseShares(parser, words[2], rule);
-  ParseTreatment(parser, words, rule.treatment);
+  ParseRouteSettings(parser, words, rule.treatment);
   const auto endpoint = ParseEndpointWord(parser, words[1]);
   if (!endpoint || rule.shares.empty()) {
     return;
--- a/Source/Settings/Settings.cc
+++ b/Source/Settings/Settings.cc
@@ -146,7 +146,7 @@
     for (const std::string& part : SplitAt(value, ',')) {
       const auto endpoint = ParseEndpoint(Trim(part));
       if (!endpoint) {
-        Report(parser, part, "IPv4 addresses with ports, with commas between");
+        Report(parser, part, "IPv4 addresses with ports, separated by commas");
         continue;
       }
       target.push_back(*endpoint);
--- a/Source/Settings/Settings.h
+++ b/Source/Settings/Settings.h
@@ -23,7 +23,7 @@
   Endpoint packet_address;  ///< Receives forwarded packets.
   std::string data_centre;
   Roles roles;
-  std::string public_key;  ///< In Z85; empty without CURVE.
+  std::string public_key;  ///< In Z85 encoding; empty if CURVE is off.
 };
 
 struct SecuritySettings {
@@ -35,13 +35,15 @@
 /// Settings of an instance in a fleet. The instances of a fleet discover each
 /// other at run time through the control instances in `seeds`.
 struct FleetSettings {
-  std::vector<Endpoint> seeds;         ///< Control instances; empty: no fleet.
-  bool first_start = false;            ///< No instance of the fleet ran before.
-  std::uint32_t tolerated_losses = 1;  ///< Disks that may be lost at once.
+  std::vector<Endpoint> seeds;  ///< Control instances; empty: no fleet.
+  /// The fleet starts for the first time; the seeds become its first voters.
+  bool first_start = false;
+  std::uint32_t tolerated_losses = 1;    ///< Disks that may be lost at once.
   Milliseconds announce_interval{1000};  ///< Between reports of a server.
   std::uint16_t metrics_port = 0;        ///< 0: no metrics are served.
   bool refuse_overload = true;  ///< Refuse new flows that would be served late.
-  /// Port of the other instances; 0: the port of control_address.
+  /// Port at which the other instances receive messages; 0: the port of
+  /// control_address.
   std::uint16_t peer_port = 0;
 };
 
@@ -54,11 +56,11 @@
   Endpoint http_address;
   Endpoint announce_address;
   Endpoint packet_address;
-  Milliseconds drain_limit{30000};
-  Milliseconds backend_lease{10000};
-  Milliseconds order_memory{600000};
-  std::uint32_t order_limit = 50000;
-  std::uint32_t flow_limit = 1000000;
+  Milliseconds drain_limit{30000};     ///< Maximum duration of a graceful stop.
+  Milliseconds backend_lease{10000};   ///< Validity of an announcement.
+  Milliseconds order_memory{600000};   ///< Retention of order records.
+  std::uint32_t order_limit = 50000;   ///< Maximum number of order records.
+  std::uint32_t flow_limit = 1000000;  ///< Maximum number of tracked flows.
   SecuritySettings security;
   FleetSettings fleet;
   std::map<std::uint32_t, PeerSettings> peers;
