--- a/Source/Node/Node.h
+++ b/Source/Node/Node.h
@@ -32,7 +32,8 @@
   wire::Hello hello;  ///< The last hello received.
   TimePoint heard_at;
   bool heard = false;  ///< A hello was received since this process started.
-  bool alive = false;  ///< Neither timed out nor stopping.
+  /// Neither timed out nor stopping, and enough consecutive hellos received.
+  bool alive = false;
   std::uint32_t consecutive_hellos = 0;
   /// Consecutive hellos with a directory digest that differs from the local
   /// one.
@@ -49,7 +50,7 @@
 };
 
 /// A change whose verdict is pending. It is retried until it expires. A retry
-/// is safe: the change is applied once, and each attempt gets the same verdict.
+/// is safe: if an earlier attempt was committed, it returns that verdict.
 struct Submission {
   Submitter submitter;
   wire::Change change;
--- a/Source/Rules/Rules.h
+++ b/Source/Rules/Rules.h
@@ -81,8 +81,9 @@
   Origin origin;
 };
 
-/// Limits on request size and timeouts. They are stored and returned to clients
-/// that read the rules; the instances between caller and server enforce them.
+/// Limits on request size and timeouts, for the instances between caller and
+/// server to enforce. They are stored and returned to clients that read the
+/// rules; entry instances do not apply them.
 struct BoundsRule {
   std::uint32_t header_bytes = 0;
   std::uint32_t body_bytes = 0;
