--- a/Source/Shell/ControlRuntime.cc
+++ b/Source/Shell/ControlRuntime.cc
@@ -14,11 +14,11 @@
 #include "Shell/MetricsServer.h"
 #include "Shell/MetricsText.h"
 
-/// The process of a control instance of a fleet.
+/// Runs a control instance of a fleet.
 namespace filbertwall {
 namespace {
 
-constexpr Milliseconds kSettingsInterval{2000};
+constexpr Milliseconds kSettingsCheckInterval{2000};
 constexpr Milliseconds kDiskRetryInterval{300};
 constexpr Milliseconds kStopDelay{300};
 constexpr char kRegistryName[] = "/servers.saved";
@@ -28,53 +28,55 @@
   return static_cast<std::uint64_t>(source()) << 32U | source();
 }
 
-/// A call that is not answered yet.
-struct OpenCall {
+/// A call whose answer is still outstanding.
+struct PendingCall {
   HttpCall request;
   FleetCall call;
 };
 
 class ControlRuntime {
  public:
-  ControlRuntime(const FleetSource& source, const FleetAdapter& deployment)
+  ControlRuntime(const FleetSource& source, const FleetAdapter& fleet_adapter)
       : settings(source.settings),
-        adapter(deployment),
+        adapter(fleet_adapter),
         file(source.path),
         link(this->loop.Base()),
         http(this->loop.Base()),
-        metrics(this->loop.Base(), [this] { return this->MetricsNow(); }) {}
+        metrics(this->loop.Base(),
+                [this] { return this->FormatCurrentMetrics(); }) {}
 
   RunError Run();
 
-  // Effects, by visitation.
+  // Execute the effects of the reducer; called by std::visit.
   void operator()(const SendMessage& effect) { this->link.Send(effect); }
   void operator()(const LogRecord& effect) { WriteLog(effect); }
   void operator()(const AnswerCall& effect);
   void operator()(const PersistRecord& effect);
   void operator()(const SaveRegistry& effect);
 
-  // Calls, by visitation, with the call's id.
-  void Start(CallId id, const ReportCall& call);
-  void Start(CallId id, const SubmitCall& call);
-  void Start(CallId id, const ReadCall&);
-  void Start(CallId id, const HealthCall&);
-  void Start(CallId id, const MalformedCall&);
+  // Start the handling of a call; called by std::visit.
+  void StartCall(CallId id, const ReportCall& call);
+  void StartCall(CallId id, const SubmitCall& call);
+  void StartCall(CallId id, const ReadCall&);
+  void StartCall(CallId id, const HealthCall&);
+  void StartCall(CallId id, const MalformedCall&);
 
  private:
   bool OpenPorts();
-  /// Empty when there is none, or none that can be read.
+  /// Reads the saved registry. Returns an empty one if the file is missing or
+  /// unreadable.
   wire::SavedRegistry LoadRegistry() const;
   void ConnectSignals();
-  /// The records on disk, after a first one if there were none; empty when the
-  /// disk does not work.
+  /// Opens the control log and returns its records. An empty log gets an
+  /// initial record. Logs the error and returns nothing when the disk fails.
   std::optional<std::vector<wire::DurableRecord>> OpenStore();
   void Handle(const ControlInstanceEvent& event);
   void HandleCall(std::uint64_t id, const HttpRequest& request);
-  void HandleDue();
-  void FailDisk(const StoreFailure& failure);
+  void HandleTimer();
+  void HandleDiskFailure(const StoreFailure& failure);
   void ReloadSettings();
-  void Rearm();
-  std::string MetricsNow() const;
+  void RearmTimer();
+  std::string FormatCurrentMetrics() const;
 
   Settings settings;
   const FleetAdapter& adapter;
@@ -86,9 +88,9 @@
   Histogram sync_time;
   std::unique_ptr<ControlStore> store;
   ControlInstance instance;
-  std::map<CallId, OpenCall> calls;
-  TimePoint settings_at;
-  TimePoint disk_retry_at = TimePoint::max();
+  std::map<CallId, PendingCall> calls;
+  TimePoint next_settings_check_at;
+  TimePoint next_disk_retry_at = TimePoint::max();
   TimePoint stop_at = TimePoint::max();
   bool disk_failed = false;
 };
@@ -105,10 +107,10 @@
               .text = contents.error().detail});
     return std::nullopt;
   }
-  if (contents.value().tail_cut) {
+  if (contents.value().tail_truncated) {
     WriteLog({.id = EventId::kLogTailCut,
               .severity = Severity::kWarning,
-              .text = "an unfinished record was left out"});
+              .text = "dropped an incomplete last record of the control log"});
   }
   std::vector<wire::DurableRecord> records =
       std::move(contents.value().records);
@@ -153,12 +155,12 @@
       });
   this->http.on_caller_left.connect(
       [this](std::uint64_t id) { this->calls.erase(id); });
-  this->loop.on_due.connect([this] { this->HandleDue(); });
+  this->loop.on_timer.connect([this] { this->HandleTimer(); });
   this->loop.on_stop.connect([this] {
     this->http.StartClosing();
     this->Handle(ControlStopRequested{});
     this->stop_at = FleetNow() + kStopDelay;
-    this->Rearm();
+    this->RearmTimer();
   });
   this->loop.on_reload.connect([this] { this->ReloadSettings(); });
 }
@@ -176,10 +178,10 @@
   this->ConnectSignals();
   this->metrics.Start({.ip = this->settings.announce_address.ip,
                        .port = this->settings.fleet.metrics_port});
-  this->settings_at = FleetNow() + kSettingsInterval;
+  this->next_settings_check_at = FleetNow() + kSettingsCheckInterval;
   if (!log) {
     this->disk_failed = true;
-    this->disk_retry_at = FleetNow() + kDiskRetryInterval;
+    this->next_disk_retry_at = FleetNow() + kDiskRetryInterval;
     this->instance.disk_failed = true;
   }
   this->Handle(ControlInstanceStarted{.saved = this->LoadRegistry()});
@@ -187,88 +189,89 @@
   return RunError::kNone;
 }
 
-void ControlRuntime::Rearm() {
-  this->loop.WakeAt(std::min({NextDue(this->instance), this->settings_at,
-                              this->disk_retry_at, this->stop_at}));
+void ControlRuntime::RearmTimer() {
+  this->loop.WakeAt(
+      std::min({NextDue(this->instance), this->next_settings_check_at,
+                this->next_disk_retry_at, this->stop_at}));
 }
 
 void ControlRuntime::Handle(const ControlInstanceEvent& event) {
-  const bool worked = !this->disk_failed;
+  const bool disk_worked = !this->disk_failed;
   for (const ControlInstanceEffect& effect :
        Reduce(this->instance, event, FleetNow())) {
-    if (worked && this->disk_failed) {
-      break;  // No promise may follow a write that failed.
+    if (disk_worked && this->disk_failed) {
+      break;  // Nothing may be sent that relies on a failed write.
     }
     std::visit(*this, effect);
   }
-  if (worked && this->disk_failed) {
+  if (disk_worked && this->disk_failed) {
     this->Handle(ControlDiskFailed{});
   }
-  this->Rearm();
+  this->RearmTimer();
 }
 
-void ControlRuntime::HandleDue() {
+void ControlRuntime::HandleTimer() {
   const TimePoint now = FleetNow();
   if (now >= this->stop_at) {
     WriteLog({.id = EventId::kStopped, .text = "control instance"});
     this->stop_at = TimePoint::max();
-    this->loop.End();
+    this->loop.Stop();
     return;
   }
-  if (now >= this->disk_retry_at) {
-    this->disk_retry_at = now + kDiskRetryInterval;
+  if (now >= this->next_disk_retry_at) {
+    this->next_disk_retry_at = now + kDiskRetryInterval;
     auto log = this->OpenStore();
     if (log) {
       this->disk_failed = false;
-      this->disk_retry_at = TimePoint::max();
+      this->next_disk_retry_at = TimePoint::max();
       WriteLog({.id = EventId::kDiskRestored,
                 .text = "records=" + std::to_string(log->size())});
       this->Handle(ControlDiskRestored{.log = std::move(*log)});
     }
   }
-  if (now >= this->settings_at) {
-    this->settings_at = now + kSettingsInterval;
+  if (now >= this->next_settings_check_at) {
+    this->next_settings_check_at = now + kSettingsCheckInterval;
     this->ReloadSettings();
   }
   this->Handle(ControlInstanceDue{});
 }
 
-void ControlRuntime::FailDisk(const StoreFailure& failure) {
+void ControlRuntime::HandleDiskFailure(const StoreFailure& failure) {
   WriteLog({.id = EventId::kSyncFailed,
             .severity = Severity::kError,
             .text = failure.detail});
   this->disk_failed = true;
-  this->disk_retry_at = FleetNow() + kDiskRetryInterval;
+  this->next_disk_retry_at = FleetNow() + kDiskRetryInterval;
 }
 
 void ControlRuntime::HandleCall(std::uint64_t id, const HttpRequest& request) {
   const HttpCall http_call{
       .method = request.method, .path = request.path, .body = request.body};
   const auto [position, added] = this->calls.emplace(
-      id, OpenCall{.request = http_call,
-                   .call = this->adapter.calls.read(http_call)});
-  // The answer may come, and remove the call, before `Start` returns.
+      id, PendingCall{.request = http_call,
+                      .call = this->adapter.calls.read(http_call)});
+  // `StartCall` may answer the call and thereby remove it from `calls`.
   const FleetCall call = position->second.call;
-  std::visit([&](const auto& item) { this->Start(id, item); }, call);
+  std::visit([&](const auto& item) { this->StartCall(id, item); }, call);
 }
 
-void ControlRuntime::Start(CallId id, const ReportCall& call) {
+void ControlRuntime::StartCall(CallId id, const ReportCall& call) {
   this->Handle(ServerReported{.call = id, .record = call.record});
 }
 
-void ControlRuntime::Start(CallId id, const SubmitCall& call) {
+void ControlRuntime::StartCall(CallId id, const SubmitCall& call) {
   this->Handle(RulesSubmitted{.call = id, .file = call.file});
 }
 
-void ControlRuntime::Start(CallId id, const ReadCall&) {
+void ControlRuntime::StartCall(CallId id, const ReadCall&) {
   this->Handle(RulesRead{.call = id});
 }
 
-void ControlRuntime::Start(CallId id, const HealthCall&) {
+void ControlRuntime::StartCall(CallId id, const HealthCall&) {
   (*this)(AnswerCall{.call = id, .verdict = CallVerdict::kAccepted});
 }
 
-void ControlRuntime::Start(CallId id, const MalformedCall& call) {
+void ControlRuntime::StartCall(CallId id, const MalformedCall& call) {
   WriteLog(
       {.id = EventId::kMalformedInput,
        .severity = Severity::kWarning,
@@ -279,16 +282,16 @@
 void ControlRuntime::operator()(const AnswerCall& effect) {
   const auto found = this->calls.find(effect.call);
   if (found == this->calls.end()) {
-    return;  // Its caller has left.
+    return;  // The caller has disconnected.
   }
-  const OpenCall open = std::move(found->second);
+  const PendingCall pending = std::move(found->second);
   this->calls.erase(found);
   const wire::Answer answer =
-      this->adapter.calls.write(open.request, open.call, effect);
-  const bool report = std::holds_alternative<ReportCall>(open.call);
+      this->adapter.calls.write(pending.request, pending.call, effect);
+  const bool report = std::holds_alternative<ReportCall>(pending.call);
   if (!report || effect.verdict != CallVerdict::kAccepted) {
     WriteLog({.id = EventId::kSubmission,
-              .text = "call=" + open.request.path +
+              .text = "call=" + pending.request.path +
                       " status=" + std::to_string(answer.status()) +
                       " leader=" + FormatIp(effect.leader) + " " +
                       effect.reason});
@@ -299,17 +302,17 @@
 void ControlRuntime::operator()(const PersistRecord& effect) {
   const TimePoint started = FleetNow();
   auto written = this->store->Append(effect.record);
-  if (written && this->store->WantsSnapshot()) {
+  if (written && this->store->NeedsSnapshot()) {
     written = this->store->Replace(FullRecord(this->instance.replica));
   }
   this->sync_time.Add(
       std::chrono::duration_cast<Microseconds>(FleetNow() - started));
   if (!written) {
-    this->FailDisk(written.error());
+    this->HandleDiskFailure(written.error());
   }
 }
 
-std::string ControlRuntime::MetricsNow() const {
+std::string ControlRuntime::FormatCurrentMetrics() const {
   return FormatMetrics(CollectMetrics(
       this->instance,
       ProcessFigures{.log_lines_lost = LogLinesLost(),
@@ -339,19 +342,19 @@
   if (!bytes || !saved.ParseFromString(bytes.value())) {
     WriteLog({.id = EventId::kRegistryNotSaved,
               .severity = Severity::kWarning,
-              .text = path + " can't be read"});
+              .text = path + " can't be read or parsed"});
     saved.Clear();
   }
   return saved;
 }
 
 void ControlRuntime::ReloadSettings() {
-  const auto fresh = this->file.Reload();
-  if (!fresh) {
+  const auto reloaded = this->file.Reload();
+  if (!reloaded) {
     return;
   }
   this->instance.config.seeds =
-      MakeFleetConfig(*fresh, this->instance.config.incarnation).seeds;
+      MakeFleetConfig(*reloaded, this->instance.config.incarnation).seeds;
   WriteLog(
       {.id = EventId::kSettingsReloaded,
        .text = "seeds=" + std::to_string(this->instance.config.seeds.size())});
--- a/Source/Shell/ControlStore.cc
+++ b/Source/Shell/ControlStore.cc
@@ -17,30 +17,31 @@
 
 constexpr char kLogName[] = "/control.log";
 constexpr char kLockName[] = "/lock";
-constexpr std::size_t kFrameBytes = 16;  // length, its check, body checksum
-constexpr std::uint32_t kLongestRecord = 256U << 20U;
-constexpr std::size_t kLeastLogBytes = 64UL * 1024UL;
+constexpr std::size_t kRecordHeaderBytes =
+    16;  // Length, length check, body checksum.
+constexpr std::uint32_t kMaxRecordBytes = 256U << 20U;
+constexpr std::size_t kMinLogBytes = 64UL * 1024UL;
 constexpr std::size_t kLogGrowthFactor = 4;
 
-struct Frame {
+struct RecordHeader {
   std::uint32_t length = 0;
   std::uint32_t length_check = 0;
   std::uint64_t checksum = 0;
 };
 
-std::uint32_t CheckOfLength(std::uint32_t length) {
-  return static_cast<std::uint32_t>(MixHash(length, kFrameBytes));
+std::uint32_t ComputeLengthCheck(std::uint32_t length) {
+  return static_cast<std::uint32_t>(MixHash(length, kRecordHeaderBytes));
 }
 
-Frame ReadFrame(const char* at) {
-  Frame frame;
-  std::memcpy(&frame.length, at, 4);
-  std::memcpy(&frame.length_check, at + 4, 4);
-  std::memcpy(&frame.checksum, at + 8, 8);
-  return frame;
+RecordHeader ReadRecordHeader(const char* data) {
+  RecordHeader header;
+  std::memcpy(&header.length, data, 4);
+  std::memcpy(&header.length_check, data + 4, 4);
+  std::memcpy(&header.checksum, data + 8, 8);
+  return header;
 }
 
-bool OnlyZeros(std::string_view bytes) {
+bool IsAllZeros(std::string_view bytes) {
   return bytes.find_first_not_of('\0') == std::string_view::npos;
 }
 
@@ -70,31 +71,31 @@
   return synced;
 }
 
-StoreFailure Failure(StoreError error, const std::string& what) {
+StoreFailure MakeFailure(StoreError error, const std::string& what) {
   return StoreFailure{.error = error,
                       .detail = what + ": " + std::strerror(errno)};
 }
 
-/// Writes `bytes` beside `path`, syncs, and renames. Gives the new file's
-/// descriptor, opened for appending.
+/// Writes `bytes` to a temporary file beside `path`, syncs it and renames it to
+/// `path`. Returns the descriptor of the new file, opened for appending.
 StoreResult<int> ReplaceFile(const std::string& path,
                              const std::string& bytes) {
-  const std::string fresh = path + ".new";
-  const int fd =
-      open(fresh.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_APPEND | O_CLOEXEC,
-           S_IRUSR | S_IWUSR);
+  const std::string temporary = path + ".new";
+  const int fd = open(temporary.c_str(),
+                      O_WRONLY | O_CREAT | O_TRUNC | O_APPEND | O_CLOEXEC,
+                      S_IRUSR | S_IWUSR);
   if (fd < 0) {
-    return Failure(StoreError::kOpenFailed, fresh);
+    return MakeFailure(StoreError::kOpenFailed, temporary);
   }
   if (!WriteAll(fd, bytes)) {
     close(fd);
-    return Failure(StoreError::kWriteFailed, fresh);
+    return MakeFailure(StoreError::kWriteFailed, temporary);
   }
   const std::string folder = std::filesystem::path(path).parent_path();
-  if (fsync(fd) != 0 || rename(fresh.c_str(), path.c_str()) != 0 ||
+  if (fsync(fd) != 0 || rename(temporary.c_str(), path.c_str()) != 0 ||
       !SyncFolder(folder)) {
     close(fd);
-    return Failure(StoreError::kSyncFailed, fresh);
+    return MakeFailure(StoreError::kSyncFailed, temporary);
   }
   return fd;
 }
@@ -104,9 +105,9 @@
 std::string EncodeRecord(const wire::DurableRecord& record) {
   const std::string body = record.SerializeAsString();
   const auto length = static_cast<std::uint32_t>(body.size());
-  const std::uint32_t check = CheckOfLength(length);
+  const std::uint32_t check = ComputeLengthCheck(length);
   const std::uint64_t checksum = Hash64(body);
-  std::string bytes(kFrameBytes, '\0');
+  std::string bytes(kRecordHeaderBytes, '\0');
   std::memcpy(bytes.data(), &length, 4);
   std::memcpy(bytes.data() + 4, &check, 4);
   std::memcpy(bytes.data() + 8, &checksum, 8);
@@ -123,35 +124,37 @@
   };
   while (offset < bytes.size()) {
     const std::string_view rest = view.substr(offset);
-    if (rest.size() < kFrameBytes || OnlyZeros(rest)) {
-      contents.tail_cut = true;
+    if (rest.size() < kRecordHeaderBytes || IsAllZeros(rest)) {
+      contents.tail_truncated = true;
       break;
     }
-    const Frame frame = ReadFrame(rest.data());
-    if (frame.length_check != CheckOfLength(frame.length) ||
-        frame.length > kLongestRecord) {
-      return corrupt("a length that fails its check");
+    const RecordHeader header = ReadRecordHeader(rest.data());
+    if (header.length_check != ComputeLengthCheck(header.length) ||
+        header.length > kMaxRecordBytes) {
+      return corrupt("invalid length check of a record");
     }
-    if (rest.size() - kFrameBytes < frame.length) {
-      contents.tail_cut = true;
+    if (rest.size() - kRecordHeaderBytes < header.length) {
+      contents.tail_truncated = true;
       break;
     }
-    const std::string_view body = rest.substr(kFrameBytes, frame.length);
+    const std::string_view body =
+        rest.substr(kRecordHeaderBytes, header.length);
     wire::DurableRecord record;
-    const bool whole =
-        Hash64(body) == frame.checksum &&
+    const bool valid =
+        Hash64(body) == header.checksum &&
         record.ParseFromArray(body.data(), static_cast<int>(body.size()));
-    if (!whole) {
-      const std::size_t half = kFrameBytes + frame.length / 2;
-      const bool last = rest.size() == kFrameBytes + frame.length;
-      if (last && OnlyZeros(rest.substr(half))) {
-        contents.tail_cut = true;
+    if (!valid) {
+      // A zero-filled second half means that the write was interrupted.
+      const std::size_t second_half = kRecordHeaderBytes + header.length / 2;
+      const bool last = rest.size() == kRecordHeaderBytes + header.length;
+      if (last && IsAllZeros(rest.substr(second_half))) {
+        contents.tail_truncated = true;
         break;
       }
-      return corrupt("a record that fails its checksum");
+      return corrupt("invalid checksum of a record");
     }
     contents.records.push_back(std::move(record));
-    offset += kFrameBytes + frame.length;
+    offset += kRecordHeaderBytes + header.length;
   }
   contents.valid_bytes = offset;
   return contents;
@@ -169,7 +172,7 @@
 StoreResult<void> ControlStore::Fail(StoreError error,
                                      const std::string& what) {
   this->failed = true;
-  return Failure(error, what);
+  return MakeFailure(error, what);
 }
 
 StoreResult<LogContents> ControlStore::Open(const std::string& path) {
@@ -178,10 +181,11 @@
   this->lock_fd =
       open(lock.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, S_IRUSR | S_IWUSR);
   if (this->lock_fd < 0) {
-    return Failure(StoreError::kOpenFailed, lock);
+    return MakeFailure(StoreError::kOpenFailed, lock);
   }
   if (flock(this->lock_fd, LOCK_EX | LOCK_NB) != 0) {
-    return Failure(StoreError::kLocked, lock + " is held by another process");
+    return MakeFailure(StoreError::kLocked,
+                       lock + " is locked by another process");
   }
   const std::string log = path + kLogName;
   std::string bytes;
@@ -199,12 +203,12 @@
   this->fd = open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC,
                   S_IRUSR | S_IWUSR);
   if (this->fd < 0) {
-    return Failure(StoreError::kOpenFailed, log);
+    return MakeFailure(StoreError::kOpenFailed, log);
   }
   const auto valid = static_cast<off_t>(contents.value().valid_bytes);
   if (ftruncate(this->fd, valid) != 0 || fsync(this->fd) != 0 ||
       !SyncFolder(path)) {
-    return Failure(StoreError::kSyncFailed, log);
+    return MakeFailure(StoreError::kSyncFailed, log);
   }
   this->bytes = contents.value().valid_bytes;
   this->snapshot_bytes = 0;
@@ -213,7 +217,8 @@
 
 StoreResult<void> ControlStore::Append(const wire::DurableRecord& record) {
   if (this->failed) {
-    return Failure(StoreError::kWriteFailed, "the log failed before");
+    return MakeFailure(StoreError::kWriteFailed,
+                       "an earlier write or sync of the control log failed");
   }
   const std::string encoded = EncodeRecord(record);
   if (!WriteAll(this->fd, encoded)) {
@@ -226,40 +231,41 @@
   return boost::outcome_v2::success();
 }
 
-bool ControlStore::WantsSnapshot() const {
-  return this->bytes > kLeastLogBytes + this->snapshot_bytes * kLogGrowthFactor;
+bool ControlStore::NeedsSnapshot() const {
+  return this->bytes > kMinLogBytes + this->snapshot_bytes * kLogGrowthFactor;
 }
 
-StoreResult<void> ControlStore::Replace(const wire::DurableRecord& full) {
+StoreResult<void> ControlStore::Replace(const wire::DurableRecord& snapshot) {
   if (this->failed) {
-    return Failure(StoreError::kWriteFailed, "the log failed before");
+    return MakeFailure(StoreError::kWriteFailed,
+                       "an earlier write or sync of the control log failed");
   }
-  const std::string encoded = EncodeRecord(full);
-  auto fresh = ReplaceFile(this->folder + kLogName, encoded);
-  if (!fresh) {
+  const std::string encoded = EncodeRecord(snapshot);
+  auto replaced = ReplaceFile(this->folder + kLogName, encoded);
+  if (!replaced) {
     this->failed = true;
-    return fresh.error();
+    return replaced.error();
   }
   close(this->fd);
-  this->fd = fresh.value();
+  this->fd = replaced.value();
   this->bytes = encoded.size();
   this->snapshot_bytes = encoded.size();
   return boost::outcome_v2::success();
 }
 
 StoreResult<void> SaveFile(const std::string& path, const std::string& bytes) {
-  auto fresh = ReplaceFile(path, bytes);
-  if (!fresh) {
-    return fresh.error();
+  auto replaced = ReplaceFile(path, bytes);
+  if (!replaced) {
+    return replaced.error();
   }
-  close(fresh.value());
+  close(replaced.value());
   return boost::outcome_v2::success();
 }
 
 StoreResult<std::string> LoadFile(const std::string& path) {
   const int fd = open(path.c_str(), O_RDONLY | O_CLOEXEC);
   if (fd < 0) {
-    return Failure(StoreError::kOpenFailed, path);
+    return MakeFailure(StoreError::kOpenFailed, path);
   }
   std::string bytes;
   std::string chunk(1U << 16U, '\0');
@@ -270,7 +276,7 @@
     }
     if (count < 0) {
       close(fd);
-      return Failure(StoreError::kReadFailed, path);
+      return MakeFailure(StoreError::kReadFailed, path);
     }
     if (count == 0) {
       close(fd);
--- a/Source/Shell/ControlStore.h
+++ b/Source/Shell/ControlStore.h
@@ -7,7 +7,8 @@
 
 #include "Wire/wire.pb.h"
 
-/// The control log on disk: framed records with length and checksum.
+/// Stores the control log on disk as a sequence of records, each with a header
+/// that holds its length and checksum.
 namespace filbertwall {
 
 enum class StoreError {
@@ -29,22 +30,24 @@
     boost::outcome_v2::basic_result<Value, StoreFailure,
                                     boost::outcome_v2::policy::all_narrow>;
 
-/// What a log file held.
+/// The decoded contents of a log file.
 struct LogContents {
   std::vector<wire::DurableRecord> records;
   std::size_t valid_bytes = 0;
-  bool tail_cut = false;  ///< A torn last record was left out.
+  bool tail_truncated = false;  ///< An incomplete last record was dropped.
 };
 
-/// Decodes a log. A torn tail (cut short, or zero to its end) is left out; any
-/// other fault is kCorrupt, with the offset. Pure.
+/// Decodes a log. Drops a last record that is incomplete, either truncated or
+/// zero-filled to its end. Returns kCorrupt with the byte offset for any other
+/// fault. Has no side effects.
 StoreResult<LogContents> DecodeLog(const std::string& bytes);
 
+/// Returns the record with its header, as it is written to the log.
 std::string EncodeRecord(const wire::DurableRecord& record);
 
-/// Owns the log file of one data folder. After any failed write or sync it
-/// refuses all further work: what reached the disk is then unknown. Not thread
-/// safe.
+/// Owns the log file of one data folder. After a failed write or sync, `Append`
+/// and `Replace` return an error, because it is unknown which data reached the
+/// disk. Not thread safe.
 class ControlStore {
  public:
   ControlStore() = default;
@@ -52,20 +55,24 @@
   ControlStore(const ControlStore&) = delete;
   ControlStore& operator=(const ControlStore&) = delete;
 
-  /// Opens or creates the log, cuts a torn tail, and locks the folder against a
-  /// second process.
+  /// Opens or creates the log, truncates an incomplete last record, and locks
+  /// the folder against other processes. Returns kLocked when another process
+  /// holds the lock.
   StoreResult<LogContents> Open(const std::string& folder);
 
-  /// Appends and syncs; only then may the record be relied on.
+  /// Appends the record and syncs the log. The record is durable only after
+  /// this function has returned success.
   StoreResult<void> Append(const wire::DurableRecord& record);
 
-  /// Whether the log has grown enough to be worth replacing.
-  bool WantsSnapshot() const;
+  /// Returns whether the log has grown so much since the last snapshot that
+  /// the caller should replace it by a new one.
+  bool NeedsSnapshot() const;
 
-  /// Replaces the whole log by one record, atomically.
-  StoreResult<void> Replace(const wire::DurableRecord& full);
+  /// Atomically replaces the whole log by a single snapshot record.
+  StoreResult<void> Replace(const wire::DurableRecord& snapshot);
 
  private:
+  /// Marks the store as failed and returns the error.
   StoreResult<void> Fail(StoreError error, const std::string& what);
 
   std::string folder;
@@ -76,9 +83,11 @@
   std::size_t snapshot_bytes = 0;
 };
 
-/// Reads and writes single-message files (rules saved by an instance that is
-/// not a control instance), atomically and synced.
+/// Writes a whole file atomically and syncs it. Used for files outside the
+/// control log, such as saved rules and the saved registry.
 StoreResult<void> SaveFile(const std::string& path, const std::string& bytes);
+
+/// Reads a whole file.
 StoreResult<std::string> LoadFile(const std::string& path);
 
 }  // namespace filbertwall
--- a/Source/Shell/EntryRuntime.cc
+++ b/Source/Shell/EntryRuntime.cc
@@ -10,14 +10,14 @@
 #include "Shell/MetricsServer.h"
 #include "Shell/MetricsText.h"
 
-/// The process of an entry instance.
+/// Runs an entry instance of a fleet.
 namespace filbertwall {
 namespace {
 
-constexpr Milliseconds kSettingsInterval{2000};
+constexpr Milliseconds kSettingsCheckInterval{2000};
 
-/// For so long the same callers are refused when a service has too much to do.
-constexpr Milliseconds kRefusalRound{2000};
+/// Period for which an overloaded service refuses the same callers.
+constexpr Milliseconds kRefusalRoundLength{2000};
 
 const char* ReasonName(ForwardReason reason) {
   switch (reason) {
@@ -47,21 +47,22 @@
 
 class EntryRuntime {
  public:
-  EntryRuntime(const FleetSource& source, const FleetAdapter& deployment)
+  EntryRuntime(const FleetSource& source, const FleetAdapter& fleet_adapter)
       : settings(source.settings),
-        adapter(deployment),
+        adapter(fleet_adapter),
         file(source.path),
         link(this->loop.Base()),
         packets(this->loop.Base()),
         http(this->loop.Base()),
-        metrics(this->loop.Base(), [this] { return this->MetricsNow(); }) {}
+        metrics(this->loop.Base(),
+                [this] { return this->FormatCurrentMetrics(); }) {}
 
   RunError Run();
 
-  // Effects, by visitation.
+  // Execute the effects of the reducer; called by std::visit.
   void operator()(const SendMessage& effect) { this->link.Send(effect); }
   void operator()(const LogRecord& effect) { WriteLog(effect); }
-  void operator()(const EntryStopped&) { this->loop.End(); }
+  void operator()(const EntryStopped&) { this->loop.Stop(); }
 
  private:
   bool OpenPorts();
@@ -70,13 +71,13 @@
   void HandleCall(std::uint64_t id, const HttpRequest& request);
   void HandlePackets(std::span<const ReceivedDatagram> batch);
   void HandlePacket(const ReceivedDatagram& datagram, TimePoint now);
-  /// Forwards the held packets that are due.
-  void ReleaseHeld();
-  std::string LoadText(const FlowPacket& packet) const;
-  void StepRound(TimePoint now);
+  /// Decides again on the held packets whose hold time has ended.
+  void ProcessDueOpenings();
+  std::string FormatLoad(const FlowPacket& packet) const;
+  void UpdateAdmissionRound(TimePoint now);
   void LogDecision(const FlowPacket& packet, const Decision& decision);
   void ReloadSettings();
-  std::string MetricsNow() const;
+  std::string FormatCurrentMetrics() const;
 
   Settings settings;
   const FleetAdapter& adapter;
@@ -87,11 +88,12 @@
   HttpServer http;
   MetricsServer metrics;
   EntryInstance instance;
-  TimePoint round_ends_at;  ///< See `Admission::round`.
+  TimePoint next_round_at;  ///< See `Admission::round`.
   Histogram batch_time;
   std::uint64_t malformed_packets = 0;
-  TimePoint settings_at;
-  /// Resets of one batch; they must live until the batch is sent.
+  TimePoint next_settings_check_at;
+  /// Reset packets of one batch. `packets` refers to their bytes until its next
+  /// flush, so the vector must not reallocate before that.
   std::vector<std::array<std::uint8_t, 64>> resets;
 };
 
@@ -125,10 +127,10 @@
       [this](std::uint64_t id, const HttpRequest& request) {
         this->HandleCall(id, request);
       });
-  this->loop.on_due.connect([this] {
+  this->loop.on_timer.connect([this] {
     this->Handle(EntryDue{});
-    if (FleetNow() >= this->settings_at) {
-      this->settings_at = FleetNow() + kSettingsInterval;
+    if (FleetNow() >= this->next_settings_check_at) {
+      this->next_settings_check_at = FleetNow() + kSettingsCheckInterval;
       this->ReloadSettings();
     }
   });
@@ -148,7 +150,7 @@
   this->ConnectSignals();
   this->metrics.Start({.ip = this->settings.announce_address.ip,
                        .port = this->settings.fleet.metrics_port});
-  this->settings_at = FleetNow() + kSettingsInterval;
+  this->next_settings_check_at = FleetNow() + kSettingsCheckInterval;
   WriteLog({.id = EventId::kStarted,
             .text = "role=entry data_centre=" + this->settings.data_centre});
   this->Handle(EntryStarted{});
@@ -160,7 +162,7 @@
   for (const EntryEffect& effect : Reduce(this->instance, event, FleetNow())) {
     std::visit(*this, effect);
   }
-  this->ReleaseHeld();
+  this->ProcessDueOpenings();
   this->loop.WakeAt(NextDue(this->instance));
 }
 
@@ -179,7 +181,7 @@
   this->resets.reserve(batch.size());
   const TimePoint now = FleetNow();
   NoteStall(this->instance, now);
-  this->StepRound(now);
+  this->UpdateAdmissionRound(now);
   for (const ReceivedDatagram& datagram : batch) {
     this->HandlePacket(datagram, now);
   }
@@ -188,20 +190,21 @@
       std::chrono::duration_cast<Microseconds>(FleetNow() - now));
 }
 
-void EntryRuntime::StepRound(TimePoint now) {
-  if (now < this->round_ends_at) {
+void EntryRuntime::UpdateAdmissionRound(TimePoint now) {
+  if (now < this->next_round_at) {
     return;
   }
-  // Of the time of day, so that all instances refuse the same callers. When it
-  // jumps, others are refused.
+  // The round is derived from the wall clock, so that all instances refuse the
+  // same callers. A jump of the clock changes which callers are refused.
   const auto since_epoch = std::chrono::duration_cast<Milliseconds>(
       std::chrono::system_clock::now().time_since_epoch());
   this->instance.forwarder.admission.round =
-      static_cast<std::uint64_t>(since_epoch / kRefusalRound);
-  this->round_ends_at = now + kRefusalRound - since_epoch % kRefusalRound;
+      static_cast<std::uint64_t>(since_epoch / kRefusalRoundLength);
+  this->next_round_at =
+      now + kRefusalRoundLength - since_epoch % kRefusalRoundLength;
 }
 
-std::string EntryRuntime::MetricsNow() const {
+std::string EntryRuntime::FormatCurrentMetrics() const {
   return FormatMetrics(CollectMetrics(
       this->instance,
       ProcessFigures{.log_lines_lost = LogLinesLost(),
@@ -219,9 +222,10 @@
   FlowPacket packet;
   if (!codec.parse(datagram.bytes, packet)) {
     this->malformed_packets += 1;
-    WriteLog({.id = EventId::kMalformedInput,
-              .severity = Severity::kWarning,
-              .text = "a packet from " + FormatEndpoint(datagram.from)});
+    WriteLog(
+        {.id = EventId::kMalformedInput,
+         .severity = Severity::kWarning,
+         .text = "malformed packet from " + FormatEndpoint(datagram.from)});
     return;
   }
   const Decision decision = DecidePacket(this->instance.forwarder, packet, now);
@@ -255,7 +259,7 @@
   }
 }
 
-void EntryRuntime::ReleaseHeld() {
+void EntryRuntime::ProcessDueOpenings() {
   const TimePoint now = FleetNow();
   std::vector<HeldOpening> due = ReleaseDue(this->instance.forwarder.held, now);
   if (due.empty()) {
@@ -269,8 +273,8 @@
   this->packets.Flush();
 }
 
-/// What a refusal for load went by.
-std::string EntryRuntime::LoadText(const FlowPacket& packet) const {
+/// Returns the measurements behind a refusal due to overload, as log text.
+std::string EntryRuntime::FormatLoad(const FlowPacket& packet) const {
   const Forwarder& forwarder = this->instance.forwarder;
   const auto route = forwarder.routes.routes.find(KeyOf(packet.key.address));
   if (route == forwarder.routes.routes.end()) {
@@ -308,7 +312,7 @@
     text += " token=" + std::to_string(packet.token);
   }
   if (decision.reason == ForwardReason::kOverload) {
-    text += this->LoadText(packet);
+    text += this->FormatLoad(packet);
   }
   WriteLog({.id = id,
             .severity = forwarded ? Severity::kInfo : Severity::kWarning,
@@ -316,13 +320,13 @@
 }
 
 void EntryRuntime::ReloadSettings() {
-  const auto fresh = this->file.Reload();
-  if (!fresh) {
+  const auto reloaded = this->file.Reload();
+  if (!reloaded) {
     return;
   }
   this->Handle(SeedsChanged{
       .seeds =
-          MakeFleetConfig(*fresh, this->instance.config.incarnation).seeds});
+          MakeFleetConfig(*reloaded, this->instance.config.incarnation).seeds});
 }
 
 }  // namespace
--- a/Source/Shell/FleetLink.cc
+++ b/Source/Shell/FleetLink.cc
@@ -13,7 +13,7 @@
 
 FleetLink::FleetLink(event_base* base) : port(base) {
   this->port.on_batch.connect([this](std::span<const ReceivedDatagram> batch) {
-    this->TakeBatch(batch);
+    this->HandleBatch(batch);
   });
 }
 
@@ -30,7 +30,7 @@
   const std::string bytes = effect.message.SerializeAsString();
   const Endpoint to{.ip = effect.to, .port = this->peer_port};
   for (const std::string& datagram :
-       SplitMessage(bytes, this->next_message++)) {
+       SplitMessage(bytes, this->next_message_id++)) {
     const std::span body(reinterpret_cast<const std::uint8_t*>(datagram.data()),
                          datagram.size());
     this->port.Send(to, {}, body);
@@ -39,18 +39,18 @@
   }
 }
 
-void FleetLink::TakeBatch(std::span<const ReceivedDatagram> batch) {
+void FleetLink::HandleBatch(std::span<const ReceivedDatagram> batch) {
   for (const ReceivedDatagram& datagram : batch) {
     const std::string_view bytes(
         reinterpret_cast<const char*>(datagram.bytes.data()),
         datagram.bytes.size());
-    const auto whole =
+    const auto assembled =
         this->reassembler.Take(datagram.from.ip, bytes, FleetNow());
-    if (!whole) {
+    if (!assembled) {
       continue;
     }
     PeerMessage message{.from = datagram.from.ip};
-    if (!message.message.ParseFromString(*whole)) {
+    if (!message.message.ParseFromString(*assembled)) {
       this->malformed += 1;
       continue;
     }
--- a/Source/Shell/FleetLink.h
+++ b/Source/Shell/FleetLink.h
@@ -9,13 +9,12 @@
 #include "Shell/DatagramPort.h"
 #include "Transport/Fragments.h"
 
-/// Messages between the instances of a fleet, over UDP.
-///
-/// Must be used on the loop's thread only.
+/// Sends and receives messages between the instances of a fleet over UDP. Must
+/// be used on the thread of the event loop only.
 namespace filbertwall {
 
-/// Time since the machine started, with the time that it was suspended: a lease
-/// must not outlive a suspension.
+/// Returns the time since the machine booted, including suspended time: a lease
+/// must not remain valid across a suspension.
 TimePoint FleetNow();
 
 class FleetLink {
@@ -24,23 +23,25 @@
 
   sigc::signal<void(const PeerMessage&)> on_message;
 
-  /// Sends to others at `port_of_peers`, or at the own port when it is 0.
-  /// False when the address can't be bound.
+  /// Binds to `address`. Messages are sent to `port_of_peers` of the other
+  /// instances, or to the port of `address` when it is 0. Returns false when
+  /// the address can't be bound.
   bool Start(const Endpoint& address, std::uint16_t port_of_peers);
 
-  /// Sends once, without a word of its arrival.
+  /// Sends the message once, without acknowledgement or retransmission.
   void Send(const SendMessage& effect);
 
+  /// Returns the number of malformed datagrams and messages received.
   std::uint64_t Malformed() const;
   std::uint64_t BytesSent() const { return this->bytes_sent; }
 
  private:
-  void TakeBatch(std::span<const ReceivedDatagram> batch);
+  void HandleBatch(std::span<const ReceivedDatagram> batch);
 
   DatagramPort port;
   Reassembler reassembler;
   std::uint16_t peer_port = 0;
-  std::uint32_t next_message = 1;
+  std::uint32_t next_message_id = 1;
   std::uint64_t malformed = 0;
   std::uint64_t bytes_sent = 0;
 };
--- a/Source/Shell/FleetLoop.cc
+++ b/Source/Shell/FleetLoop.cc
@@ -8,17 +8,18 @@
 namespace filbertwall {
 namespace {
 
-constexpr Microseconds kLongestWait{1000000};
-constexpr Microseconds kFarewell{100000};
+constexpr Microseconds kMaxTimerDelay{1000000};
+constexpr Microseconds kExitDelay{100000};
 
-timeval ToSystem(Microseconds time) {
+timeval ToTimeval(Microseconds time) {
   constexpr std::int64_t kMicrosecondsPerSecond = 1000000;
   return timeval{.tv_sec = time.count() / kMicrosecondsPerSecond,
                  .tv_usec = time.count() % kMicrosecondsPerSecond};
 }
 
-/// Changes of what is waited for go to the kernel together, before it waits.
-event_base* MakeBase() {
+/// Creates an event base that collects changes of the watched events and passes
+/// them to the kernel together, before the next wait.
+event_base* MakeEventBase() {
   event_config* config = event_config_new();
   event_config_set_flag(config, EVENT_BASE_FLAG_EPOLL_USE_CHANGELIST);
   event_base* base = event_base_new_with_config(config);
@@ -28,22 +29,24 @@
 
 }  // namespace
 
-FleetLoop::FleetLoop() : base(MakeBase(), &event_base_free) {
+FleetLoop::FleetLoop() : base(MakeEventBase(), &event_base_free) {
   std::signal(SIGPIPE, SIG_IGN);
   this->timer = evtimer_new(this->Base(), &FleetLoop::OnTimer, this);
-  this->terminate =
+  this->terminate_event =
       evsignal_new(this->Base(), SIGTERM, &FleetLoop::OnStop, this);
-  this->interrupt =
+  this->interrupt_event =
       evsignal_new(this->Base(), SIGINT, &FleetLoop::OnStop, this);
-  this->hangup = evsignal_new(this->Base(), SIGHUP, &FleetLoop::OnReload, this);
-  for (event* item : {this->terminate, this->interrupt, this->hangup}) {
+  this->hangup_event =
+      evsignal_new(this->Base(), SIGHUP, &FleetLoop::OnReload, this);
+  for (event* item :
+       {this->terminate_event, this->interrupt_event, this->hangup_event}) {
     event_add(item, nullptr);
   }
 }
 
 FleetLoop::~FleetLoop() {
-  for (event* item :
-       {this->timer, this->terminate, this->interrupt, this->hangup}) {
+  for (event* item : {this->timer, this->terminate_event, this->interrupt_event,
+                      this->hangup_event}) {
     event_free(item);
   }
 }
@@ -55,30 +58,31 @@
   this->armed_for = due;
   const TimePoint now = FleetNow();
   const Microseconds wait =
-      due <= now ? Microseconds(0)
-                 : std::chrono::duration_cast<Microseconds>(
-                       std::min<TimePoint::duration>(due - now, kLongestWait));
-  const timeval system = ToSystem(std::min(wait, kLongestWait));
-  event_add(this->timer, &system);
+      due <= now
+          ? Microseconds(0)
+          : std::chrono::duration_cast<Microseconds>(
+                std::min<TimePoint::duration>(due - now, kMaxTimerDelay));
+  const timeval timeout = ToTimeval(std::min(wait, kMaxTimerDelay));
+  event_add(this->timer, &timeout);
 }
 
 void FleetLoop::Run() { event_base_dispatch(this->Base()); }
 
-void FleetLoop::End() {
-  const timeval moment = ToSystem(kFarewell);
-  event_base_loopexit(this->Base(), &moment);
+void FleetLoop::Stop() {
+  const timeval delay = ToTimeval(kExitDelay);
+  event_base_loopexit(this->Base(), &delay);
 }
 
 void FleetLoop::OnTimer(evutil_socket_t, short, void* self) {
   auto& loop = *static_cast<FleetLoop*>(self);
   loop.armed_for.reset();
-  loop.on_due.emit();
+  loop.on_timer.emit();
 }
 
 void FleetLoop::OnStop(evutil_socket_t, short, void* self) {
   auto& loop = *static_cast<FleetLoop*>(self);
   if (loop.stop_requested) {
-    event_base_loopbreak(loop.Base());  // The second signal ends at once.
+    event_base_loopbreak(loop.Base());  // The second signal exits at once.
     return;
   }
   loop.stop_requested = true;
--- a/Source/Shell/FleetLoop.h
+++ b/Source/Shell/FleetLoop.h
@@ -8,8 +8,8 @@
 
 #include "Base/Time.h"
 
-/// The event loop of a fleet's process: one timer for what is due next, and the
-/// signals.
+/// The event loop of an instance of a fleet: one timer for the next due work,
+/// and the handling of process signals.
 namespace filbertwall {
 
 class FleetLoop {
@@ -19,19 +19,22 @@
   FleetLoop(const FleetLoop&) = delete;
   FleetLoop& operator=(const FleetLoop&) = delete;
 
-  sigc::signal<void()> on_due;
-  sigc::signal<void()> on_stop;    ///< SIGTERM or SIGINT; once.
+  sigc::signal<void()> on_timer;
+  sigc::signal<void()> on_stop;    ///< First SIGTERM or SIGINT only.
   sigc::signal<void()> on_reload;  ///< SIGHUP.
 
   event_base* Base() { return this->base.get(); }
 
-  /// Emits `on_due` at `due`, or now when that is past. Replaces the timer.
+  /// Emits `on_timer` at `due`, but no later than one second from now, and at
+  /// once when `due` is past. Replaces the time set before.
   void WakeAt(TimePoint due);
 
-  /// Runs until `End`.
+  /// Runs until the delay of `Stop` has passed, or until a second SIGTERM or
+  /// SIGINT.
   void Run();
-  /// Lets answers that were just written leave, then ends `Run`.
-  void End();
+  /// Ends `Run` after a short delay, so that answers already written are still
+  /// sent.
+  void Stop();
 
  private:
   static void OnTimer(evutil_socket_t fd, short what, void* self);
@@ -40,9 +43,9 @@
 
   std::unique_ptr<event_base, decltype(&event_base_free)> base;
   event* timer = nullptr;
-  event* terminate = nullptr;
-  event* interrupt = nullptr;
-  event* hangup = nullptr;
+  event* terminate_event = nullptr;
+  event* interrupt_event = nullptr;
+  event* hangup_event = nullptr;
   std::optional<TimePoint> armed_for;
   bool stop_requested = false;
 };
--- a/Source/Shell/FleetRuntime.h
+++ b/Source/Shell/FleetRuntime.h
@@ -6,24 +6,29 @@
 #include "Settings/Settings.h"
 #include "Shell/Runtime.h"
 
-/// The process of one instance of a fleet: turns the world into events for its
-/// reducer and carries the effects out, on one loop and one thread.
+/// Runs one instance of a fleet: passes messages, packets, calls, timers and
+/// signals to its reducer as events and executes the resulting effects, on one
+/// event loop and one thread.
 namespace filbertwall {
 
-/// Settings and the file that they came from, which may change later.
+/// Settings and the path of the file they were read from. The file is reloaded
+/// when it changes.
 struct FleetSource {
   std::string path;
   Settings settings;
 };
 
-/// Both run until a graceful stop has ended. Precondition: the settings have no
-/// findings and name the role.
+/// Runs an entry instance until its graceful stop has ended. Precondition: the
+/// settings have no findings and name this role.
 RunError RunEntryInstance(const FleetSource& source,
                           const FleetAdapter& adapter);
+
+/// Runs a control instance until its graceful stop has ended. Precondition: the
+/// settings have no findings and name this role.
 RunError RunControlInstance(const FleetSource& source,
                             const FleetAdapter& adapter);
 
-/// What the settings say for the fleet's reducers.
+/// Builds the configuration of the fleet's reducers from the settings.
 FleetConfig MakeFleetConfig(const Settings& settings,
                             std::uint64_t incarnation);
 
--- a/Source/Shell/FleetSettingsFile.h
+++ b/Source/Shell/FleetSettingsFile.h
@@ -5,15 +5,16 @@
 
 #include "Settings/Settings.h"
 
-/// Watches the settings file of a running process.
+/// Detects changes of the settings file of a running process.
 namespace filbertwall {
 
 class FleetSettingsFile {
  public:
   explicit FleetSettingsFile(const std::string& file_path);
 
-  /// The settings when the file has changed since the last call and holds no
-  /// findings. Findings are logged, and the settings in force are kept.
+  /// Returns the settings if the file has changed since the last call and has
+  /// no findings. Otherwise logs the read error or the first finding, if any,
+  /// and returns nothing, so that the current settings stay in force.
   std::optional<Settings> Reload();
 
  private:
--- a/Source/Shell/Runtime.cc
+++ b/Source/Shell/Runtime.cc
@@ -40,7 +40,7 @@
   return (static_cast<std::uint64_t>(source()) << 32U | source()) | 1U;
 }
 
-/// Everything that one running instance holds.
+/// One running instance: its node, event loop, network ports and control log.
 class Runtime {
  public:
   Runtime(const Settings& own_settings, const KeyPair& keys);
@@ -50,7 +50,7 @@
 
   RunError Run();
 
-  // Effects, by visitation.
+  // Execute the effects of the node; called by std::visit.
   void operator()(const SendToPeer& effect);
   void operator()(const ReplyToOperator& effect);
   void operator()(const PersistControl& effect);
@@ -68,7 +68,7 @@
   RunError OpenPorts();
   void ConnectSignals();
   void Handle(const NodeEvent& event);
-  void FailDisk(const StoreFailure& failure);
+  void HandleDiskFailure(const StoreFailure& failure);
   void AddMetrics(wire::NodeDump& dump);
   static void OnTick(evutil_socket_t fd, short what, void* self);
   static void OnSignal(evutil_socket_t signal, short what, void* self);
@@ -78,8 +78,8 @@
   std::unique_ptr<event_base, decltype(&event_base_free)> loop;
   event_base* base;
   Messenger messenger;
-  HttpServer callers;
-  HttpServer announcements;
+  HttpServer caller_server;
+  HttpServer announce_server;
   HttpClient client;
   PacketPort packets;
   ControlStore store;
@@ -99,8 +99,8 @@
       loop(event_base_new(), &event_base_free),
       base(this->loop.get()),
       messenger(this->base, this->settings, keys),
-      callers(this->base),
-      announcements(this->base),
+      caller_server(this->base),
+      announce_server(this->base),
       client(this->base),
       packets(this->base) {}
 
@@ -125,18 +125,20 @@
       return RunError::kDisk;
     }
     parts.control_log = contents.value().records;
-    if (contents.value().tail_cut) {
-      WriteLog({.id = EventId::kLogTailCut,
-                .severity = Severity::kWarning,
-                .text = "an unfinished record was left out"});
+    if (contents.value().tail_truncated) {
+      WriteLog(
+          {.id = EventId::kLogTailCut,
+           .severity = Severity::kWarning,
+           .text = "dropped an incomplete last record of the control log"});
     }
     if (parts.control_log.empty()) {
-      // A new incarnation: this disk has promised nothing to anybody.
+      // An empty log gets a new incarnation: no vote or entry that another
+      // instance may rely on has been written to this disk.
       wire::DurableRecord record;
       record.set_incarnation(RandomNumber());
       const auto appended = this->store.Append(record);
       if (!appended) {
-        this->FailDisk(appended.error());
+        this->HandleDiskFailure(appended.error());
         return RunError::kDisk;
       }
       parts.control_log.push_back(record);
@@ -156,9 +158,9 @@
   std::string error = this->messenger.Start();
   const Settings& own = this->settings;
   if (error.empty() && own.roles.entry) {
-    if (!this->callers.Start(own.http_address)) {
+    if (!this->caller_server.Start(own.http_address)) {
       error = "http_address " + FormatEndpoint(own.http_address);
-    } else if (!this->announcements.Start(own.announce_address)) {
+    } else if (!this->announce_server.Start(own.announce_address)) {
       error = "announce_address " + FormatEndpoint(own.announce_address);
     } else if (!this->packets.Start(own.packet_address)) {
       error = "packet_address " + FormatEndpoint(own.packet_address);
@@ -175,23 +177,23 @@
 
 void Runtime::ConnectSignals() {
   this->messenger.on_message.connect(
-      [this](const std::string& from_client, wire::Envelope envelope) {
-        this->Handle(MessageArrived{.client = from_client,
+      [this](const std::string& client_id, wire::Envelope envelope) {
+        this->Handle(MessageArrived{.client = client_id,
                                     .envelope = std::move(envelope)});
       });
   this->messenger.on_malformed.connect([this] {
     this->node.counters["messages_malformed"] += 1;
     WriteLog({.id = EventId::kMalformedInput,
               .severity = Severity::kWarning,
-              .text = "a message between instances"});
+              .text = "malformed message between instances"});
   });
-  this->callers.on_request.connect(
+  this->caller_server.on_request.connect(
       [this](std::uint64_t id, HttpRequest request) {
         this->Handle(RequestArrived{.id = id, .request = std::move(request)});
       });
-  this->callers.on_caller_left.connect(
+  this->caller_server.on_caller_left.connect(
       [this](std::uint64_t id) { this->Handle(CallerLeft{.id = id}); });
-  this->announcements.on_request.connect(
+  this->announce_server.on_request.connect(
       [this](std::uint64_t id, const HttpRequest& request) {
         if (request.method == "POST" && request.path == "/announce") {
           this->Handle(AnnouncementArrived{.id = id, .json = request.body});
@@ -241,7 +243,7 @@
       std::chrono::duration_cast<Microseconds>(Now() - started).count()));
   for (const NodeEffect& effect : effects) {
     if (this->result == RunError::kDisk) {
-      return;  // No promise may follow a write that failed.
+      return;  // Nothing may be sent that relies on a failed write.
     }
     std::visit(*this, effect);
   }
@@ -256,20 +258,21 @@
 void Runtime::OnSignal(evutil_socket_t, short, void* self) {
   auto& runtime = *static_cast<Runtime*>(self);
   if (runtime.stop_requested) {
-    event_base_loopbreak(runtime.base);  // The second signal ends at once.
+    event_base_loopbreak(runtime.base);  // The second signal exits at once.
     return;
   }
   runtime.stop_requested = true;
-  runtime.callers.StartClosing();
+  runtime.caller_server.StartClosing();
   runtime.Handle(StopRequested{});
 }
 
 void Runtime::OnHangup(evutil_socket_t, short, void*) {
-  WriteLog({.id = EventId::kSettingsReloaded,
-            .text = "SIGHUP: settings with peers are read at a start only"});
+  WriteLog(
+      {.id = EventId::kSettingsReloaded,
+       .text = "SIGHUP ignored: settings with peers are read only at startup"});
 }
 
-void Runtime::FailDisk(const StoreFailure& failure) {
+void Runtime::HandleDiskFailure(const StoreFailure& failure) {
   WriteLog({.id = EventId::kSyncFailed,
             .severity = Severity::kError,
             .text = failure.detail});
@@ -278,14 +281,14 @@
 }
 
 void Runtime::AddMetrics(wire::NodeDump& dump) {
-  const auto add = [&](const char* name, const DurationStatistics& figures) {
+  const auto add = [&](const char* name, const DurationStatistics& statistics) {
     wire::MetricDump& metric = *dump.add_metrics();
     metric.set_name(name);
-    metric.set_count(acc::count(figures));
-    if (acc::count(figures) > 0) {
-      metric.set_mean(acc::mean(figures));
-      metric.set_max(acc::max(figures));
-      metric.set_p99(acc::p_square_quantile(figures));
+    metric.set_count(acc::count(statistics));
+    if (acc::count(statistics) > 0) {
+      metric.set_mean(acc::mean(statistics));
+      metric.set_max(acc::max(statistics));
+      metric.set_p99(acc::p_square_quantile(statistics));
     }
   };
   add("event_us", this->event_us);
@@ -306,32 +309,32 @@
     this->messenger.Reply(effect.client, effect.envelope);
     return;
   }
-  wire::Envelope measured = effect.envelope;
-  this->AddMetrics(*measured.mutable_dump_reply()->mutable_dump());
-  this->messenger.Reply(effect.client, measured);
+  wire::Envelope with_metrics = effect.envelope;
+  this->AddMetrics(*with_metrics.mutable_dump_reply()->mutable_dump());
+  this->messenger.Reply(effect.client, with_metrics);
 }
 
 void Runtime::operator()(const PersistControl& effect) {
   const TimePoint started = Now();
   auto written = this->store.Append(effect.record);
-  if (written && this->store.WantsSnapshot()) {
+  if (written && this->store.NeedsSnapshot()) {
     written = this->store.Replace(FullRecord(this->node.replica));
   }
   this->sync_us(static_cast<double>(
       std::chrono::duration_cast<Microseconds>(Now() - started).count()));
   if (!written) {
-    this->FailDisk(written.error());
+    this->HandleDiskFailure(written.error());
   }
 }
 
 void Runtime::operator()(const PersistRules& effect) {
   if (this->settings.data_folder.empty() || this->settings.roles.control) {
-    return;  // A control instance has them in its log.
+    return;  // A control instance stores the rules in its log.
   }
   const auto saved = SaveFile(this->settings.data_folder + kRulesName,
                               effect.rules.SerializeAsString());
   if (!saved) {
-    this->FailDisk(saved.error());
+    this->HandleDiskFailure(saved.error());
   }
 }
 
@@ -339,7 +342,7 @@
   wire::Answer answer;
   answer.set_status(static_cast<std::uint32_t>(effect.status));
   answer.set_body(effect.json + "\n");
-  this->announcements.Answer(effect.id, answer);
+  this->announce_server.Answer(effect.id, answer);
 }
 
 void Runtime::operator()(const StartAttempt& effect) {
@@ -351,7 +354,7 @@
 }
 
 void Runtime::operator()(const AnswerCaller& effect) {
-  this->callers.Answer(effect.id, effect.answer);
+  this->caller_server.Answer(effect.id, effect.answer);
 }
 
 void Runtime::operator()(const FlowEffects& effect) {
@@ -361,9 +364,9 @@
 void Runtime::operator()(const LogRecord& effect) { WriteLog(effect); }
 
 void Runtime::operator()(const Stopped&) {
-  // Answers that were just written still have to leave.
-  const timeval moment{.tv_sec = 0, .tv_usec = 100000};
-  event_base_loopexit(this->base, &moment);
+  // The delay lets answers that were already written be sent.
+  const timeval exit_delay{.tv_sec = 0, .tv_usec = 100000};
+  event_base_loopexit(this->base, &exit_delay);
 }
 
 }  // namespace
--- a/Source/Shell/Runtime.h
+++ b/Source/Shell/Runtime.h
@@ -7,20 +7,24 @@
 #include "Settings/Settings.h"
 #include "Shell/Keys.h"
 
-/// The process of one instance: turns the world into events for its node, and
-/// carries the node's effects out, on one loop and one thread.
+/// Runs one instance: passes messages, requests, packets, timer ticks and
+/// signals to its node as events and executes the node's effects, on one event
+/// loop and one thread.
 namespace filbertwall {
 
 enum class RunError { kNone, kNetwork, kDisk };
 
+/// Returns the exit code of the process for the error.
 ExitCode ExitCodeOf(RunError error);
 
-/// Runs until a graceful stop has ended. Precondition: the settings have no
-/// findings; SIGTERM and SIGINT belong to this process alone.
+/// Runs an instance until its graceful stop has ended. Precondition: the
+/// settings have no findings, and no other code of this process handles SIGTERM
+/// or SIGINT.
 RunError RunInstance(const Settings& settings, const KeyPair& keys);
 
-/// Prepares a data folder as the first voter of a new cluster. Gives an error
-/// text, empty on success; a folder with a log in it is an error.
+/// Initialises a data folder for the first voter of a new cluster. Returns an
+/// error message, empty on success. A folder that already holds a control log
+/// is an error.
 std::string FormatFolder(const Settings& settings);
 
 }  // namespace filbertwall
--- a/Tests/Shell/ControlStoreTest.cc
+++ b/Tests/Shell/ControlStoreTest.cc
@@ -41,7 +41,7 @@
   }
 };
 
-TEST(ControlStore, KeepsWhatWasAppended) {
+TEST(ControlStore, RestoresAppendedRecords) {
   {
     ControlStore store;
     CHECK(store.Open(this->folder).has_value());
@@ -54,19 +54,19 @@
   LONGS_EQUAL(2, contents.value().records[1].tip().seq());
 }
 
-TEST(ControlStore, CutsATornTailAtEveryLength) {
+TEST(ControlStore, DropsIncompleteLastRecordOfEveryLength) {
   const std::string first = EncodeRecord(RecordWithTip(1));
   const std::string second = EncodeRecord(RecordWithTip(2));
   for (std::size_t kept = 1; kept < second.size(); ++kept) {
     const auto contents = DecodeLog(first + second.substr(0, kept));
     CHECK(contents.has_value());
-    CHECK(contents.value().tail_cut);
+    CHECK(contents.value().tail_truncated);
     LONGS_EQUAL(1, contents.value().records.size());
     LONGS_EQUAL(first.size(), contents.value().valid_bytes);
   }
 }
 
-TEST(ControlStore, AppendsAfterACutTail) {
+TEST(ControlStore, AppendsAfterTruncatedTail) {
   const std::string second = EncodeRecord(RecordWithTip(2));
   this->Write(EncodeRecord(RecordWithTip(1)) + second.substr(0, 20));
   {
@@ -78,7 +78,7 @@
   LONGS_EQUAL(3, store.Open(this->folder).value().records[1].tip().seq());
 }
 
-TEST(ControlStore, StopsAtEveryFlippedByteOfTheMiddle) {
+TEST(ControlStore, ReportsEveryFlippedByteBeforeLastRecord) {
   const std::string first = EncodeRecord(RecordWithTip(1));
   const std::string second = EncodeRecord(RecordWithTip(2));
   for (std::size_t i = 0; i < first.size(); ++i) {
@@ -90,23 +90,23 @@
   }
 }
 
-TEST(ControlStore, RefusesASecondProcess) {
+TEST(ControlStore, RejectsSecondOpenOfSameFolder) {
   ControlStore first;
   CHECK(first.Open(this->folder).has_value());
   ControlStore second;
   CHECK(second.Open(this->folder).error().error == StoreError::kLocked);
 }
 
-TEST(ControlStore, ReplacesTheLogByOneRecord) {
+TEST(ControlStore, ReplacesLogBySnapshotRecord) {
   {
     ControlStore store;
     CHECK(store.Open(this->folder).has_value());
     for (std::uint64_t i = 1; i <= 100; ++i) {
       CHECK(store.Append(RecordWithTip(i, 1000)).has_value());
     }
-    CHECK(store.WantsSnapshot());
+    CHECK(store.NeedsSnapshot());
     CHECK(store.Replace(RecordWithTip(100)).has_value());
-    CHECK_FALSE(store.WantsSnapshot());
+    CHECK_FALSE(store.NeedsSnapshot());
     CHECK(store.Append(RecordWithTip(101)).has_value());
   }
   CHECK(std::filesystem::file_size(this->LogPath()) < 1000);
@@ -114,20 +114,21 @@
   LONGS_EQUAL(2, store.Open(this->folder).value().records.size());
 }
 
-TEST(ControlStore, FullDiskRefusesAndDoesNotCorrupt) {
+TEST(ControlStore, RejectsWritesAfterFullDiskAndKeepsLogValid) {
   std::signal(SIGXFSZ, SIG_IGN);
-  rlimit before{};
-  getrlimit(RLIMIT_FSIZE, &before);
+  rlimit previous_limit{};
+  getrlimit(RLIMIT_FSIZE, &previous_limit);
   {
     ControlStore store;
     CHECK(store.Open(this->folder).has_value());
     CHECK(store.Append(RecordWithTip(1, 1000)).has_value());
-    const rlimit full{.rlim_cur = 2000, .rlim_max = before.rlim_max};
-    setrlimit(RLIMIT_FSIZE, &full);
+    const rlimit reduced_limit{.rlim_cur = 2000,
+                               .rlim_max = previous_limit.rlim_max};
+    setrlimit(RLIMIT_FSIZE, &reduced_limit);
     CHECK(store.Append(RecordWithTip(2, 1000)).error().error ==
           StoreError::kWriteFailed);
-    setrlimit(RLIMIT_FSIZE, &before);
-    // The disk has room again, but what reached it is not known.
+    setrlimit(RLIMIT_FSIZE, &previous_limit);
+    // The disk has free space again, but it is unknown which data reached it.
     CHECK_FALSE(store.Append(RecordWithTip(3)).has_value());
     CHECK_FALSE(store.Replace(RecordWithTip(3)).has_value());
   }
