--- a/Source/Shell/DatagramPort.cc
+++ b/Source/Shell/DatagramPort.cc
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr int kSocketBufferBytes = 1 << 20;
-constexpr int kBatchesPerWakeUp = 4;
+constexpr int kMaxBatchesPerWakeUp = 4;
 
 sockaddr_in ToSystem(const Endpoint& endpoint) {
   sockaddr_in address{};
@@ -26,7 +26,7 @@
 }  // namespace
 
 DatagramPort::DatagramPort(event_base* event_loop)
-    : base(event_loop), buffers(kBatch) {}
+    : base(event_loop), buffers(kBatchSize) {}
 
 DatagramPort::~DatagramPort() {
   if (this->readable != nullptr) {
@@ -42,7 +42,7 @@
   if (this->fd < 0) {
     return false;
   }
-  // The system may grant less; bursts are then lost earlier.
+  // The kernel may grant a smaller buffer; shorter bursts then lose datagrams.
   setsockopt(this->fd, SOL_SOCKET, SO_RCVBUF, &kSocketBufferBytes,
              sizeof(kSocketBufferBytes));
   const sockaddr_in system = ToSystem(address);
@@ -56,18 +56,18 @@
 }
 
 std::size_t DatagramPort::ReceiveBatch() {
-  for (std::size_t i = 0; i < kBatch; ++i) {
+  for (std::size_t i = 0; i < kBatchSize; ++i) {
     this->vectors[i] = {.iov_base = this->buffers[i].data(),
-                        .iov_len = kLargestDatagram};
-    msghdr& header = this->incoming[i].msg_hdr;
+                        .iov_len = kMaxDatagramBytes};
+    msghdr& header = this->incoming_messages[i].msg_hdr;
     header = msghdr{};
     header.msg_name = &this->senders[i];
     header.msg_namelen = sizeof(sockaddr_in);
     header.msg_iov = &this->vectors[i];
     header.msg_iovlen = 1;
   }
-  const int count =
-      recvmmsg(this->fd, this->incoming.data(), kBatch, MSG_DONTWAIT, nullptr);
+  const int count = recvmmsg(this->fd, this->incoming_messages.data(),
+                             kBatchSize, MSG_DONTWAIT, nullptr);
   if (count <= 0) {
     return 0;
   }
@@ -75,7 +75,8 @@
   for (std::size_t i = 0; i < size; ++i) {
     this->received[i] = {
         .from = FromSystem(this->senders[i]),
-        .bytes = std::span(this->buffers[i].data(), this->incoming[i].msg_len)};
+        .bytes = std::span(this->buffers[i].data(),
+                           this->incoming_messages[i].msg_len)};
   }
   this->on_batch.emit(std::span(this->received.data(), size));
   this->Flush();
@@ -84,30 +85,31 @@
 
 void DatagramPort::OnReadable(evutil_socket_t, short, void* self) {
   auto& port = *static_cast<DatagramPort*>(self);
-  for (int i = 0; i < kBatchesPerWakeUp; ++i) {
-    if (port.ReceiveBatch() < kBatch) {
+  for (int i = 0; i < kMaxBatchesPerWakeUp; ++i) {
+    if (port.ReceiveBatch() < kBatchSize) {
       return;
     }
   }
 }
 
-void DatagramPort::Send(const Endpoint& to, std::span<const std::uint8_t> head,
+void DatagramPort::Send(const Endpoint& to,
+                        std::span<const std::uint8_t> prefix,
                         std::span<const std::uint8_t> body) {
-  Outgoing& item = this->outgoing[this->queued];
+  OutgoingDatagram& item = this->outgoing[this->queued];
   item.address = ToSystem(to);
-  const std::size_t head_size = std::min(head.size(), kLongestHead);
-  std::copy_n(head.begin(), head_size, item.head.begin());
-  item.parts[0] = {.iov_base = item.head.data(), .iov_len = head_size};
+  const std::size_t prefix_size = std::min(prefix.size(), kLongestHead);
+  std::copy_n(prefix.begin(), prefix_size, item.prefix.begin());
+  item.parts[0] = {.iov_base = item.prefix.data(), .iov_len = prefix_size};
   item.parts[1] = {.iov_base = const_cast<std::uint8_t*>(body.data()),
                    .iov_len = body.size()};
-  msghdr& header = this->headers[this->queued].msg_hdr;
+  msghdr& header = this->outgoing_messages[this->queued].msg_hdr;
   header = msghdr{};
   header.msg_name = &item.address;
   header.msg_namelen = sizeof(sockaddr_in);
   header.msg_iov = item.parts.data();
   header.msg_iovlen = item.parts.size();
   this->queued += 1;
-  if (this->queued == kBatch) {
+  if (this->queued == kBatchSize) {
     this->Flush();
   }
 }
@@ -115,16 +117,16 @@
 void DatagramPort::Flush() {
   std::size_t sent = 0;
   while (sent < this->queued) {
-    const int taken =
-        sendmmsg(this->fd, this->headers.data() + sent,
+    const int accepted =
+        sendmmsg(this->fd, this->outgoing_messages.data() + sent,
                  static_cast<unsigned>(this->queued - sent), MSG_DONTWAIT);
-    if (taken <= 0) {
-      // The first of the rest can't be sent; the others still may be.
+    if (accepted <= 0) {
+      // Skips the datagram that was refused; later ones may still be sent.
       this->send_failures += 1;
       sent += 1;
       continue;
     }
-    sent += static_cast<std::size_t>(taken);
+    sent += static_cast<std::size_t>(accepted);
   }
   this->queued = 0;
 }
--- a/Source/Shell/DatagramPort.h
+++ b/Source/Shell/DatagramPort.h
@@ -15,11 +15,11 @@
 
 /// A UDP socket that receives and sends in batches.
 ///
-/// Must be used on the loop's thread only. Sending never blocks: what the
-/// socket does not take is lost, and counted.
+/// Must be used on the event loop's thread only. Sending never blocks: a
+/// datagram that the socket does not accept is dropped and counted.
 namespace filbertwall {
 
-/// A datagram in the port's buffer, valid until the handler returns.
+/// A datagram in the receive buffer, valid until the handler returns.
 struct ReceivedDatagram {
   Endpoint from;
   std::span<std::uint8_t> bytes;
@@ -32,18 +32,20 @@
   DatagramPort(const DatagramPort&) = delete;
   DatagramPort& operator=(const DatagramPort&) = delete;
 
-  /// Emitted with each batch. What the handler queues with `Send` must stay
-  /// valid until it returns; then the queue is sent.
+  /// Emitted for each received batch. A body that the handler passes to `Send`
+  /// must stay valid until the handler returns; the queue is sent then.
   sigc::signal<void(std::span<const ReceivedDatagram>)> on_batch;
 
-  /// False when the address can't be bound.
+  /// Returns false when the address cannot be bound.
   bool Start(const Endpoint& address);
 
-  /// Queues a datagram of two parts, the first of which is copied.
-  void Send(const Endpoint& to, std::span<const std::uint8_t> head,
+  /// Queues a datagram that consists of `prefix` and `body`. `prefix` is
+  /// copied; `body` must stay valid until the queue is sent.
+  void Send(const Endpoint& to, std::span<const std::uint8_t> prefix,
             std::span<const std::uint8_t> body);
 
-  /// Sends what is queued. Called after each batch; others call it themselves.
+  /// Sends the queued datagrams. Called after each received batch; code that
+  /// sends outside a batch handler must call it itself.
   void Flush();
 
   std::uint64_t SendFailures() const { return this->send_failures; }
@@ -51,13 +53,12 @@
   static constexpr std::size_t kLongestHead = 16;
 
  private:
-  static constexpr std::size_t kBatch = 32;
-  static constexpr std::size_t kLargestDatagram = 2048;
+  static constexpr std::size_t kBatchSize = 32;
+  static constexpr std::size_t kMaxDatagramBytes = 2048;
 
-  /// One queued datagram.
-  struct Outgoing {
+  struct OutgoingDatagram {
     sockaddr_in address{};
-    std::array<std::uint8_t, kLongestHead> head{};
+    std::array<std::uint8_t, kLongestHead> prefix{};
     std::array<iovec, 2> parts{};
   };
 
@@ -68,13 +69,13 @@
   int fd = -1;
   event* readable = nullptr;
   std::uint64_t send_failures = 0;
-  std::vector<std::array<std::uint8_t, kLargestDatagram>> buffers;
-  std::array<sockaddr_in, kBatch> senders{};
-  std::array<iovec, kBatch> vectors{};
-  std::array<mmsghdr, kBatch> incoming{};
-  std::array<ReceivedDatagram, kBatch> received{};
-  std::array<Outgoing, kBatch> outgoing{};
-  std::array<mmsghdr, kBatch> headers{};
+  std::vector<std::array<std::uint8_t, kMaxDatagramBytes>> buffers;
+  std::array<sockaddr_in, kBatchSize> senders{};
+  std::array<iovec, kBatchSize> vectors{};
+  std::array<mmsghdr, kBatchSize> incoming_messages{};
+  std::array<ReceivedDatagram, kBatchSize> received{};
+  std::array<OutgoingDatagram, kBatchSize> outgoing{};
+  std::array<mmsghdr, kBatchSize> outgoing_messages{};
   std::size_t queued = 0;
 };
 
--- a/Source/Shell/HttpClient.cc
+++ b/Source/Shell/HttpClient.cc
@@ -8,10 +8,12 @@
 namespace filbertwall {
 namespace {
 
-/// The reducer sets the deadlines; this only bounds what it might forget.
-constexpr std::chrono::seconds kLongestAttempt{3600};
+/// Upper bound for an attempt that the reducer fails to cancel; the reducer
+/// enforces the actual deadlines.
+constexpr std::chrono::seconds kAttemptTimeout{3600};
 
-/// Whether the end of the body can be told from a connection that broke off.
+/// Returns whether the end of the body can be distinguished from a connection
+/// that was lost.
 bool IsSelfDelimited(evhttp_request* answer, bool head_only) {
   constexpr int kNoContent = 204;
   constexpr int kNotModified = 304;
@@ -27,10 +29,10 @@
   result.answer.set_status(
       static_cast<std::uint32_t>(evhttp_request_get_response_code(request)));
   for (wire::HeaderField& field :
-       ReadFields(evhttp_request_get_input_headers(request))) {
+       ReadEndToEndFields(evhttp_request_get_input_headers(request))) {
     *result.answer.add_headers() = std::move(field);
   }
-  result.answer.set_body(TakeBody(evhttp_request_get_input_buffer(request)));
+  result.answer.set_body(ExtractBody(evhttp_request_get_input_buffer(request)));
   return result;
 }
 
@@ -57,9 +59,9 @@
       start.backend.port);
   evhttp_connection_set_retries(connection, 0);
   evhttp_connection_set_timeout(connection,
-                                static_cast<int>(kLongestAttempt.count()));
-  evhttp_connection_set_max_headers_size(connection, kLargestHeadBytes);
-  evhttp_connection_set_max_body_size(connection, kLargestBodyBytes);
+                                static_cast<int>(kAttemptTimeout.count()));
+  evhttp_connection_set_max_headers_size(connection, kMaxHeaderBytes);
+  evhttp_connection_set_max_body_size(connection, kMaxBodyBytes);
   Attempt& attempt = this->attempts[start.attempt];
   attempt = Attempt{.client = this,
                     .id = start.attempt,
@@ -99,7 +101,8 @@
 
 void HttpClient::Finish(Attempt& attempt, const AttemptResult& result) {
   const std::uint64_t id = attempt.id;
-  // The library is still using the connection while it calls back.
+  // libevent still uses the connection during this callback, so the connection
+  // is freed by a later event.
   bufferevent* stream = evhttp_connection_get_bufferevent(attempt.connection);
   evbuffer_remove_cb(bufferevent_get_output(stream), &HttpClient::OnOutput,
                      &attempt);
--- a/Source/Shell/HttpClient.h
+++ b/Source/Shell/HttpClient.h
@@ -12,8 +12,8 @@
 struct evbuffer;
 struct evbuffer_cb_info;
 
-/// Attempts at backend servers, each on a connection of its own. Must be used
-/// on the loop's thread only.
+/// HTTP client for attempts at backend servers; each attempt uses a connection
+/// of its own. Must be used on the event loop's thread only.
 namespace filbertwall {
 
 class HttpClient {
@@ -27,7 +27,8 @@
   sigc::signal<void(std::uint64_t attempt, AttemptResult result)> on_ended;
 
   void Start(const StartAttempt& start);
-  /// Ends an attempt without a result; its connection is closed.
+  /// Closes an attempt's connection without emitting a result. Ignores an
+  /// unknown attempt.
   void Cancel(std::uint64_t attempt);
 
  private:
--- a/Source/Shell/HttpFields.cc
+++ b/Source/Shell/HttpFields.cc
@@ -24,19 +24,19 @@
 
 }  // namespace
 
-std::string TakeBody(evbuffer* buffer) {
+std::string ExtractBody(evbuffer* buffer) {
   std::string body(evbuffer_get_length(buffer), '\0');
   evbuffer_remove(buffer, body.data(), body.size());
   return body;
 }
 
 bool IsEndToEnd(const std::string& name) {
-  // RFC 9110 section 7.6.1, and the length, which is set anew.
-  constexpr std::array<const char*, 9> kPerConnection = {
+  // Fields of RFC 9110 section 7.6.1, and Content-Length, which is recomputed.
+  constexpr std::array<const char*, 9> kNotForwarded = {
       "Connection", "Keep-Alive",     "Proxy-Connection",
       "TE",         "Trailer",        "Upgrade",
       "Expect",     "Content-Length", "Transfer-Encoding"};
-  for (const char* field : kPerConnection) {
+  for (const char* field : kNotForwarded) {
     if (EqualsIgnoringCase(name, field)) {
       return false;
     }
@@ -44,7 +44,7 @@
   return true;
 }
 
-std::vector<wire::HeaderField> ReadFields(const evkeyvalq* fields) {
+std::vector<wire::HeaderField> ReadEndToEndFields(const evkeyvalq* fields) {
   std::vector<wire::HeaderField> copies;
   for (const evkeyval* field = fields->tqh_first; field != nullptr;
        field = field->next.tqe_next) {
--- a/Source/Shell/HttpFields.h
+++ b/Source/Shell/HttpFields.h
@@ -14,18 +14,22 @@
 namespace filbertwall {
 
 /// Limits on what a peer may send over HTTP.
-inline constexpr std::size_t kLargestHeadBytes = 16 * 1024;
-inline constexpr std::size_t kLargestBodyBytes = 4 * 1024 * 1024;
+inline constexpr std::size_t kMaxHeaderBytes = 16 * 1024;
+inline constexpr std::size_t kMaxBodyBytes = 4 * 1024 * 1024;
 
-std::string TakeBody(evbuffer* buffer);
+/// Removes all bytes from the buffer and returns them.
+std::string ExtractBody(evbuffer* buffer);
 
-/// Whether a field is passed on; the others belong to one connection only.
+/// Returns whether a field is forwarded; hop-by-hop fields apply to a single
+/// connection only.
 bool IsEndToEnd(const std::string& name);
 
-/// The fields that are passed on.
-std::vector<wire::HeaderField> ReadFields(const evkeyvalq* fields);
+/// Returns copies of the end-to-end fields.
+std::vector<wire::HeaderField> ReadEndToEndFields(const evkeyvalq* fields);
 
+/// Returns an empty string for an unknown method.
 std::string MethodName(evhttp_cmd_type method);
+/// Returns GET for an unknown name.
 evhttp_cmd_type MethodFromName(const std::string& name);
 
 }  // namespace filbertwall
--- a/Source/Shell/HttpServer.h
+++ b/Source/Shell/HttpServer.h
@@ -11,7 +11,7 @@
 #include "Base/Endpoint.h"
 #include "Requests/RequestTier.h"
 
-/// One listening HTTP port. Must be used on the loop's thread only.
+/// An HTTP server on one port. Must be used on the event loop's thread only.
 namespace filbertwall {
 
 class HttpServer {
@@ -22,35 +22,36 @@
   HttpServer& operator=(const HttpServer&) = delete;
 
   sigc::signal<void(std::uint64_t id, HttpRequest request)> on_request;
-  /// Emitted when the connection of an unanswered request ends.
+  /// Emitted when the connection of an unanswered request is closed.
   sigc::signal<void(std::uint64_t id)> on_caller_left;
 
-  /// False when the address can't be bound.
+  /// Returns false when the address cannot be bound.
   bool Start(const Endpoint& address);
 
-  /// Asks callers to close their connection with each answer from now on. New
-  /// connections are still accepted: closing the port would reset those that
-  /// wait to be accepted.
+  /// Adds `Connection: close` to every later answer. New connections are still
+  /// accepted: closing the port would reset connections that wait to be
+  /// accepted.
   void StartClosing();
 
-  /// Answers a request once; ignored when its caller has left.
+  /// Answers a request. Ignored when the request was answered before or its
+  /// caller has disconnected.
   void Answer(std::uint64_t id, const wire::Answer& answer);
 
  private:
-  struct Open {
+  struct PendingRequest {
     HttpServer* server = nullptr;
     std::uint64_t id = 0;
     evhttp_request* request = nullptr;
   };
 
   static void OnRequest(evhttp_request* request, void* self);
-  static void OnClosed(evhttp_connection* connection, void* open);
+  static void OnClosed(evhttp_connection* connection, void* pending);
 
   event_base* base;
   evhttp* http = nullptr;
   std::uint64_t next_id = 1;
   bool closing = false;
-  std::map<std::uint64_t, Open> open;
+  std::map<std::uint64_t, PendingRequest> pending;
 };
 
 }  // namespace filbertwall
--- a/Source/Shell/Keys.h
+++ b/Source/Shell/Keys.h
@@ -7,7 +7,7 @@
 #include "Base/Finding.h"
 #include "Settings/Settings.h"
 
-/// CURVE keys: files, and who may talk to an instance.
+/// CURVE keys: key files, and the keys that may connect to an instance.
 namespace filbertwall {
 
 struct KeyPair {
@@ -15,18 +15,19 @@
   std::string secret_key;
 };
 
-/// Makes a new pair. Empty keys when the library has no CURVE.
+/// Generates a key pair. Returns empty keys when libzmq lacks CURVE support.
 KeyPair MakeKeyPair();
 
-/// Writes the pair to a file that only its owner can read. False on failure,
-/// and when the file exists.
+/// Writes the pair to a new file that only its owner can read. Returns false on
+/// failure or when the file exists.
 bool WriteKeyFile(const std::string& path, const KeyPair& keys);
 
-/// Reads a pair; reports a file that others can read or that holds no keys.
+/// Reads a key pair. Adds a finding and returns empty keys when the file cannot
+/// be read, is accessible to group or others, or holds no keys.
 KeyPair ReadKeyFile(const std::string& path, std::vector<Finding>& findings);
 
-/// Public keys that may connect, with the identity each proves: `peer.ID` or
-/// `operator.NAME`.
+/// Returns the public keys that may connect, each with the identity that it
+/// authenticates: `peer.ID` or `operator.NAME`.
 std::map<std::string, std::string> AllowedKeys(const Settings& settings);
 
 }  // namespace filbertwall
--- a/Source/Shell/Log.cc
+++ b/Source/Shell/Log.cc
@@ -19,7 +19,7 @@
 namespace filbertwall {
 namespace {
 
-constexpr std::uint32_t kRecordsPerSecond = 100;
+constexpr std::uint32_t kMaxRecordsPerSecond = 100;
 
 struct EventRate {
   std::chrono::steady_clock::time_point second_started;
@@ -34,11 +34,11 @@
   return output;
 }
 
-/// Boost.Log's way to our output.
+/// Passes the lines that Boost.Log formats to `Output`.
 class OutputBackend : public boost::log::sinks::basic_formatted_sink_backend<
                           char, boost::log::sinks::concurrent_feeding> {
  public:
-  // The name is Boost.Log's.
+  // Boost.Log requires this name.
   // NOLINTNEXTLINE(readability-identifier-naming)
   static void consume(const boost::log::record_view&, const std::string& line) {
     Output().Write(line);
@@ -90,7 +90,7 @@
     }
     rate = EventRate{.second_started = now};
   }
-  if (rate.written >= kRecordsPerSecond) {
+  if (rate.written >= kMaxRecordsPerSecond) {
     rate.suppressed += 1;
     return;
   }
--- a/Source/Shell/Log.h
+++ b/Source/Shell/Log.h
@@ -4,19 +4,21 @@
 
 #include "Base/Event.h"
 
-/// Numbered, structured log records on standard output, by Boost.Log.
+/// Numbered, structured log records on standard output, written by Boost.Log.
 namespace filbertwall {
 
-/// Sets the format of this process's log. Call once, before the first record.
+/// Configures the log of this process. Must be called once, before the first
+/// record.
 void StartLog(std::uint32_t instance);
 
-/// Writes `time FW-NUMBER severity instance=ID text`. At most a fixed number of
-/// records of one event a second are written; the rest are counted. Never
-/// blocks: what a slow reader does not take is kept up to a limit, then lost
-/// and counted. Not thread safe.
+/// Writes `time FW-NUMBER severity instance=ID text`. The records of each event
+/// are rate-limited per second; suppressed records are counted. Never blocks:
+/// lines that a slow reader does not accept are queued up to a limit, then
+/// dropped and counted. Not thread safe.
 void WriteLog(const LogRecord& record);
 
-/// Lines that were lost to a slow reader since the start.
+/// Returns the number of lines dropped since the start because of a slow
+/// reader.
 std::uint64_t LogLinesLost();
 
 }  // namespace filbertwall
--- a/Source/Shell/LogOutput.cc
+++ b/Source/Shell/LogOutput.cc
@@ -8,8 +8,9 @@
 namespace filbertwall {
 namespace {
 
-/// A pipe that is ready takes at least this much without blocking.
-constexpr std::size_t kAtomicBytes = 4096;
+/// A pipe that polls as writable accepts at least this many bytes without
+/// blocking.
+constexpr std::size_t kMaxWriteBytes = 4096;
 
 bool IsReady(int fd) {
   pollfd item{.fd = fd, .events = POLLOUT, .revents = 0};
@@ -19,17 +20,17 @@
 }  // namespace
 
 void LogOutput::Write(const std::string& line) {
-  if (this->queue.size() + line.size() + 1 > kMostQueuedBytes) {
+  if (this->queue.size() + line.size() + 1 > kMaxQueuedBytes) {
     this->Flush();
   }
-  if (this->queue.size() + line.size() + 1 > kMostQueuedBytes) {
+  if (this->queue.size() + line.size() + 1 > kMaxQueuedBytes) {
     this->lost += 1;
     return;
   }
-  if (this->lost != this->lost_and_told) {
-    this->queue += std::to_string(this->lost - this->lost_and_told) +
+  if (this->lost != this->lost_and_reported) {
+    this->queue += std::to_string(this->lost - this->lost_and_reported) +
                    " log lines were lost to a slow reader\n";
-    this->lost_and_told = this->lost;
+    this->lost_and_reported = this->lost;
   }
   this->queue += line;
   this->queue += '\n';
@@ -40,12 +41,12 @@
   std::size_t written = 0;
   while (written < this->queue.size() && IsReady(this->fd)) {
     const std::size_t size =
-        std::min(kAtomicBytes, this->queue.size() - written);
-    const ssize_t taken = write(this->fd, this->queue.data() + written, size);
-    if (taken <= 0) {
+        std::min(kMaxWriteBytes, this->queue.size() - written);
+    const ssize_t count = write(this->fd, this->queue.data() + written, size);
+    if (count <= 0) {
       break;
     }
-    written += static_cast<std::size_t>(taken);
+    written += static_cast<std::size_t>(count);
   }
   this->queue.erase(0, written);
 }
--- a/Source/Shell/Messenger.cc
+++ b/Source/Shell/Messenger.cc
@@ -8,10 +8,10 @@
 constexpr int kHighWaterMark = 2000;
 constexpr int kHeartbeatIntervalMs = 1000;
 constexpr int kHeartbeatTimeoutMs = 3000;
-constexpr int kHandshakeLimitMs = 3000;
+constexpr int kHandshakeTimeoutMs = 3000;
 constexpr int kReconnectMs = 50;
 constexpr int kReconnectMaxMs = 500;
-constexpr std::int64_t kLargestMessage = 64LL << 20;
+constexpr std::int64_t kMaxMessageBytes = 64LL << 20;
 constexpr char kAuthenticationEndpoint[] = "inproc://zeromq.zap.01";
 
 std::string KindName(const wire::Envelope& envelope) {
@@ -28,7 +28,7 @@
   return field->name();
 }
 
-std::string Tcp(const Endpoint& endpoint) {
+std::string TcpAddress(const Endpoint& endpoint) {
   return "tcp://" + FormatEndpoint(endpoint);
 }
 
@@ -39,7 +39,7 @@
     : base(event_loop),
       settings(own_settings),
       keys(own_keys),
-      allowed(AllowedKeys(own_settings)),
+      allowed_keys(AllowedKeys(own_settings)),
       router(this->context, zmq::socket_type::router),
       authenticator(this->context, zmq::socket_type::rep) {}
 
@@ -53,10 +53,10 @@
   socket.set(zmq::sockopt::linger, 200);
   socket.set(zmq::sockopt::sndhwm, kHighWaterMark);
   socket.set(zmq::sockopt::rcvhwm, kHighWaterMark);
-  socket.set(zmq::sockopt::maxmsgsize, kLargestMessage);
+  socket.set(zmq::sockopt::maxmsgsize, kMaxMessageBytes);
   socket.set(zmq::sockopt::heartbeat_ivl, kHeartbeatIntervalMs);
   socket.set(zmq::sockopt::heartbeat_timeout, kHeartbeatTimeoutMs);
-  socket.set(zmq::sockopt::handshake_ivl, kHandshakeLimitMs);
+  socket.set(zmq::sockopt::handshake_ivl, kHandshakeTimeoutMs);
 }
 
 void Messenger::StartAuthentication() {
@@ -73,12 +73,12 @@
     if (this->settings.security.curve) {
       this->StartAuthentication();
     }
-    this->router.bind(Tcp(this->settings.control_address));
+    this->router.bind(TcpAddress(this->settings.control_address));
     this->Watch(this->router);
     for (const auto& [id, peer] : this->settings.peers) {
       zmq::socket_t socket(this->context, zmq::socket_type::dealer);
       this->ApplyLimits(socket);
-      // Messages to an instance that is not there are dropped, not queued.
+      // Messages to an instance without a connection are dropped, not queued.
       socket.set(zmq::sockopt::immediate, true);
       socket.set(zmq::sockopt::reconnect_ivl, kReconnectMs);
       socket.set(zmq::sockopt::reconnect_ivl_max, kReconnectMaxMs);
@@ -87,7 +87,7 @@
         socket.set(zmq::sockopt::curve_publickey, this->keys.public_key);
         socket.set(zmq::sockopt::curve_secretkey, this->keys.secret_key);
       }
-      socket.connect(Tcp(peer.address));
+      socket.connect(TcpAddress(peer.address));
       this->peers.emplace(id, std::move(socket));
     }
   } catch (const zmq::error_t& error) {
@@ -142,7 +142,8 @@
   this->DrainRouter();
 }
 
-/// Answers the library's requests by RFC 27 (ZAP): only known keys get in.
+/// Answers ZeroMQ's authentication requests (ZAP, RFC 27); only known keys are
+/// accepted.
 void Messenger::DrainAuthentication() {
   constexpr std::size_t kKeyPart = 6;
   zmq::message_t part;
@@ -160,8 +161,8 @@
       zmq_z85_encode(
           text.data(),
           reinterpret_cast<const std::uint8_t*>(parts[kKeyPart].data()), 32);
-      const auto known = this->allowed.find(text.data());
-      identity = known == this->allowed.end() ? "" : known->second;
+      const auto known = this->allowed_keys.find(text.data());
+      identity = known == this->allowed_keys.end() ? "" : known->second;
     }
     const std::string request = parts.size() > 1 ? parts[1] : "";
     const std::array<std::string, 6> reply = {
@@ -183,15 +184,15 @@
     while (more && this->router.recv(message, zmq::recv_flags::none)) {
       more = message.more();
       if (first) {
-        this->TakeMessage(identity.to_string(), message);
+        this->HandleMessage(identity.to_string(), message);
       }
       first = false;
     }
   }
 }
 
-void Messenger::TakeMessage(const std::string& identity,
-                            zmq::message_t& message) {
+void Messenger::HandleMessage(const std::string& identity,
+                              zmq::message_t& message) {
   wire::Envelope envelope;
   if (!envelope.ParseFromArray(message.data(),
                                static_cast<int>(message.size()))) {
@@ -200,12 +201,12 @@
   }
   const bool is_operator = envelope.from() == 0;
   if (this->settings.security.curve) {
-    const char* proven = zmq_msg_gets(message.handle(), "User-Id");
-    const std::string who = proven == nullptr ? "" : proven;
-    const bool genuine = is_operator
-                             ? who.starts_with("operator.")
-                             : who == "peer." + std::to_string(envelope.from());
-    if (!genuine) {
+    const char* user_id = zmq_msg_gets(message.handle(), "User-Id");
+    const std::string sender = user_id == nullptr ? "" : user_id;
+    const bool authentic =
+        is_operator ? sender.starts_with("operator.")
+                    : sender == "peer." + std::to_string(envelope.from());
+    if (!authentic) {
       this->on_malformed.emit();
       return;
     }
--- a/Source/Shell/MetricsServer.h
+++ b/Source/Shell/MetricsServer.h
@@ -10,11 +10,12 @@
 
 class MetricsServer {
  public:
-  /// `format` gives the text of the moment; called on the loop's thread.
+  /// `format` returns the current metrics as text. It is called on the event
+  /// loop's thread.
   MetricsServer(event_base* base, std::function<std::string()> format);
 
-  /// Listens unless the port is 0. A port that can't be had is logged: an
-  /// instance without metrics still serves.
+  /// Listens unless the port is 0. A failure to bind is only logged, because an
+  /// instance can serve without metrics.
   void Start(const Endpoint& address);
 
  private:
--- a/Source/Shell/MetricsText.cc
+++ b/Source/Shell/MetricsText.cc
@@ -7,7 +7,7 @@
 namespace filbertwall {
 namespace {
 
-/// Writes one sample into its family.
+/// Copies a sample's value to its metric and sets the type of its family.
 struct SampleWriter {
   prometheus::MetricFamily& family;
   prometheus::ClientMetric& metric;
--- a/Source/Shell/MetricsText.h
+++ b/Source/Shell/MetricsText.h
@@ -8,7 +8,8 @@
 /// Metrics as text in the Prometheus exposition format.
 namespace filbertwall {
 
-/// Pure. Samples of one name must stand together.
+/// Formats the samples. Samples with the same name must be adjacent. Has no
+/// side effects.
 std::string FormatMetrics(const std::vector<MetricSample>& samples);
 
 }  // namespace filbertwall
--- a/Source/Shell/PacketPort.cc
+++ b/Source/Shell/PacketPort.cc
@@ -10,10 +10,10 @@
 namespace filbertwall {
 namespace {
 
-constexpr std::size_t kBatch = 64;
-constexpr std::size_t kLargestDatagram = 9216;
+constexpr std::size_t kBatchSize = 64;
+constexpr std::size_t kMaxDatagramBytes = 9216;
 constexpr int kSocketBufferBytes = 8 << 20;
-constexpr int kBatchesPerWakeUp = 8;
+constexpr int kMaxBatchesPerWakeUp = 8;
 
 sockaddr_in ToSystem(const Endpoint& endpoint) {
   sockaddr_in address{};
@@ -40,23 +40,24 @@
     header.msg_iov = &vector;
     header.msg_iovlen = 1;
     this->count += 1;
-    if (this->count == kBatch) {
+    if (this->count == kBatchSize) {
       this->Flush();
     }
   }
 
-  /// Gives the number of datagrams that could not be sent so far.
+  /// Sends the collected datagrams. Returns the number of datagrams that could
+  /// not be sent so far.
   std::uint64_t Flush() {
     std::size_t sent = 0;
     while (sent < this->count) {
-      const int taken =
+      const int accepted =
           sendmmsg(this->fd, this->messages.data() + sent,
                    static_cast<unsigned>(this->count - sent), MSG_DONTWAIT);
-      if (taken <= 0) {
+      if (accepted <= 0) {
         this->failures += 1;
-        sent += 1;  // Goes on after the one that was refused.
+        sent += 1;  // Skips the datagram that was refused.
       } else {
-        sent += static_cast<std::size_t>(taken);
+        sent += static_cast<std::size_t>(accepted);
       }
     }
     this->count = 0;
@@ -67,15 +68,15 @@
   int fd;
   std::size_t count = 0;
   std::uint64_t failures = 0;
-  std::array<sockaddr_in, kBatch> addresses;
-  std::array<iovec, kBatch> vectors;
-  std::array<mmsghdr, kBatch> messages;
+  std::array<sockaddr_in, kBatchSize> addresses;
+  std::array<iovec, kBatchSize> vectors;
+  std::array<mmsghdr, kBatchSize> messages;
 };
 
 }  // namespace
 
 PacketPort::PacketPort(event_base* event_loop)
-    : base(event_loop), buffer(kBatch * kLargestDatagram) {}
+    : base(event_loop), buffer(kBatchSize * kMaxDatagramBytes) {}
 
 PacketPort::~PacketPort() {
   if (this->readable != nullptr) {
@@ -105,25 +106,25 @@
 
 void PacketPort::OnReadable(evutil_socket_t, short, void* self) {
   auto& port = *static_cast<PacketPort*>(self);
-  // A bound, so that a flood of packets does not starve the other events.
-  for (int i = 0; i < kBatchesPerWakeUp && port.ReceiveBatch(); ++i) {
+  // The limit keeps a flood of packets from starving other events.
+  for (int i = 0; i < kMaxBatchesPerWakeUp && port.ReceiveBatch(); ++i) {
   }
 }
 
 bool PacketPort::ReceiveBatch() {
-  std::array<sockaddr_in, kBatch> addresses{};
-  std::array<iovec, kBatch> vectors{};
-  std::array<mmsghdr, kBatch> messages{};
-  for (std::size_t i = 0; i < kBatch; ++i) {
-    vectors[i].iov_base = this->buffer.data() + i * kLargestDatagram;
-    vectors[i].iov_len = kLargestDatagram;
+  std::array<sockaddr_in, kBatchSize> addresses{};
+  std::array<iovec, kBatchSize> vectors{};
+  std::array<mmsghdr, kBatchSize> messages{};
+  for (std::size_t i = 0; i < kBatchSize; ++i) {
+    vectors[i].iov_base = this->buffer.data() + i * kMaxDatagramBytes;
+    vectors[i].iov_len = kMaxDatagramBytes;
     messages[i].msg_hdr.msg_name = &addresses[i];
     messages[i].msg_hdr.msg_namelen = sizeof(sockaddr_in);
     messages[i].msg_hdr.msg_iov = &vectors[i];
     messages[i].msg_hdr.msg_iovlen = 1;
   }
   const int received =
-      recvmmsg(this->fd, messages.data(), kBatch, MSG_DONTWAIT, nullptr);
+      recvmmsg(this->fd, messages.data(), kBatchSize, MSG_DONTWAIT, nullptr);
   if (received <= 0) {
     return false;
   }
@@ -131,12 +132,12 @@
   for (std::size_t i = 0; i < static_cast<std::size_t>(received); ++i) {
     this->batch.datagrams.push_back(
         {.bytes = std::span(this->buffer)
-                      .subspan(i * kLargestDatagram, messages[i].msg_len),
+                      .subspan(i * kMaxDatagramBytes, messages[i].msg_len),
          .from = {.ip = ntohl(addresses[i].sin_addr.s_addr),
                   .port = ntohs(addresses[i].sin_port)}});
   }
   this->on_packets.emit(this->batch);
-  return static_cast<std::size_t>(received) == kBatch;
+  return static_cast<std::size_t>(received) == kBatchSize;
 }
 
 void PacketPort::Send(const FlowEffects& effects) {
--- a/Source/Shell/PacketPort.h
+++ b/Source/Shell/PacketPort.h
@@ -8,8 +8,8 @@
 
 #include "Flows/FlowTier.h"
 
-/// The UDP port on which Geneve datagrams arrive and leave, many a system
-/// call. Must be used on the loop's thread only.
+/// The UDP port that receives and sends Geneve datagrams, in batches. Must be
+/// used on the event loop's thread only.
 namespace filbertwall {
 
 class PacketPort {
@@ -19,17 +19,18 @@
   PacketPort(const PacketPort&) = delete;
   PacketPort& operator=(const PacketPort&) = delete;
 
-  /// The datagrams are valid until the handlers return.
+  /// Emitted for each received batch. The datagrams are valid until the
+  /// handlers return.
   sigc::signal<void(const PacketsArrived&)> on_packets;
 
-  /// False when the address can't be bound.
+  /// Returns false when the address cannot be bound.
   bool Start(const Endpoint& address);
 
-  /// Sends what the decisions ordered. Precondition: forwarded packets belong
-  /// to the event that is being handled.
+  /// Sends the packets and datagrams in `effects`. Precondition: the forwarded
+  /// packets belong to the batch that is being handled.
   void Send(const FlowEffects& effects);
 
-  /// Datagrams that the system refused to take.
+  /// Returns the number of datagrams that the kernel refused to send.
   std::uint64_t SendFailures() const;
 
  private:
