--- a/Tests/Shell/LogOutputTest.cc
+++ b/Tests/Shell/LogOutputTest.cc
@@ -26,55 +26,55 @@
 }  // namespace
 
 TEST_GROUP(LogOutput) {
-  int ends[2] = {-1, -1};
+  int pipe_ends[2] = {-1, -1};
 
   void setup() override {
-    LONGS_EQUAL(0, pipe(this->ends));
-    fcntl(this->ends[0], F_SETFL, O_NONBLOCK);
+    LONGS_EQUAL(0, pipe(this->pipe_ends));
+    fcntl(this->pipe_ends[0], F_SETFL, O_NONBLOCK);
   }
 
   void teardown() override {
-    close(this->ends[0]);
-    close(this->ends[1]);
+    close(this->pipe_ends[0]);
+    close(this->pipe_ends[1]);
   }
 };
 
-TEST(LogOutput, LinesAreWrittenAtOnce) {
-  LogOutput output(this->ends[1]);
+TEST(LogOutput, LinesAreWrittenImmediately) {
+  LogOutput output(this->pipe_ends[1]);
   output.Write("one");
   output.Write("two");
-  STRCMP_EQUAL("one\ntwo\n", ReadAll(this->ends[0]).c_str());
+  STRCMP_EQUAL("one\ntwo\n", ReadAll(this->pipe_ends[0]).c_str());
 }
 
-TEST(LogOutput, AReaderThatNeverReadsBlocksNothing) {
-  LogOutput output(this->ends[1]);
+TEST(LogOutput, WriteDoesNotBlockOnStalledReader) {
+  LogOutput output(this->pipe_ends[1]);
   const std::string line(100, 'x');
   constexpr int kLines = 20000;
   const auto started = std::chrono::steady_clock::now();
   for (int i = 0; i < kLines; ++i) {
     output.Write(line);
   }
-  const auto took = std::chrono::steady_clock::now() - started;
-  CHECK(took < std::chrono::seconds(5));
+  const auto elapsed = std::chrono::steady_clock::now() - started;
+  CHECK(elapsed < std::chrono::seconds(5));
   CHECK(output.Lost() > 0);
 }
 
-TEST(LogOutput, LostLinesAreToldOnceThereIsRoom) {
-  LogOutput output(this->ends[1]);
+TEST(LogOutput, LostLinesAreReportedOnceThereIsRoom) {
+  LogOutput output(this->pipe_ends[1]);
   const std::string line(1000, 'x');
   for (int i = 0; i < 1000; ++i) {
     output.Write(line);
   }
   const std::uint64_t lost = output.Lost();
   CHECK(lost > 0);
-  ReadAll(this->ends[0]);
+  ReadAll(this->pipe_ends[0]);
   output.Write("after");
-  std::string rest = ReadAll(this->ends[0]);
+  std::string rest = ReadAll(this->pipe_ends[0]);
   output.Write("last");
-  rest += ReadAll(this->ends[0]);
-  const std::string told =
+  rest += ReadAll(this->pipe_ends[0]);
+  const std::string report =
       std::to_string(lost) + " log lines were lost to a slow reader";
-  CHECK(rest.find(told) != std::string::npos);
+  CHECK(rest.find(report) != std::string::npos);
   CHECK(rest.find("after") != std::string::npos);
   CHECK_EQUAL(lost, output.Lost());
 }
--- a/Tests/Shell/MetricsTextTest.cc
+++ b/Tests/Shell/MetricsTextTest.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// The names that docs/METRICS.md lists.
+/// Returns the metric names that docs/METRICS.md lists.
 std::set<std::string> DocumentedNames() {
   std::ifstream file(METRICS_PAGE);
   std::set<std::string> names;
@@ -42,7 +42,7 @@
 
 TEST_GROUP(MetricsText){};
 
-TEST(MetricsText, ThePageListsWhatIsServed) {
+TEST(MetricsText, DocumentationListsServedMetrics) {
   const std::set<std::string> served = ServedNames();
   const std::set<std::string> documented = DocumentedNames();
   for (const std::string& name : served) {
@@ -66,7 +66,7 @@
   CHECK(text.find("x_seconds_count 3") != std::string::npos);
 }
 
-TEST(MetricsText, SamplesOfOneNameShareTheirHead) {
+TEST(MetricsText, SamplesOfOneNameShareTheirHeader) {
   const std::string text =
       FormatMetrics({MetricSample{.name = "x_total",
                                   .help = "X.",
