--- a/Source/Commands/Commands.cc
+++ b/Source/Commands/Commands.cc
@@ -28,7 +28,7 @@
 
 constexpr Milliseconds kReplyTimeout{7000};
 
-/// Reads a whole file; prints a finding when it can't be read.
+/// Reads a whole file; prints an error when it can't be read.
 std::optional<std::string> ReadInput(const std::string& path) {
   const auto bytes = LoadFile(path);
   if (!bytes) {
@@ -40,13 +40,13 @@
   return bytes.value();
 }
 
-/// Settings that parsed without findings, and the keys of the instance.
+/// Settings that parsed without errors (findings), and the instance's keys.
 struct CheckedSettings {
   Settings settings;
   KeyPair keys;
 };
 
-/// Reads settings and keys; prints the findings when there are any.
+/// Reads settings and keys; prints every error found in them, if any.
 std::optional<CheckedSettings> LoadSettings(const std::string& path) {
   const auto text = ReadInput(path);
   if (!text) {
@@ -65,13 +65,13 @@
   return checked;
 }
 
-/// A rules file that parsed without findings.
+/// A rules file that parsed without errors (findings).
 struct CheckedRules {
   std::string text;
   Rules rules;
 };
 
-/// Reads a rules file; prints the findings when there are any.
+/// Reads a rules file; prints every error found in it, if any.
 std::optional<CheckedRules> LoadRules(const std::string& path) {
   const auto text = ReadInput(path);
   if (!text) {
@@ -100,8 +100,9 @@
     line.add(this->server_key);
   }
 
-  /// Returns the reply; an empty envelope when no reply arrived within
-  /// kReplyTimeout or the key file can't be used (its findings are printed).
+  /// Sends a request and returns the reply. Returns an empty envelope when no
+  /// reply arrives within kReplyTimeout, or when the key file is invalid; the
+  /// errors in the key file are printed.
   wire::Envelope Request(const wire::Envelope& request) {
     KeyPair keys;
     if (this->key_file.isSet()) {
