--- a/Tests/Soak/fleet_processes.py
+++ b/Tests/Soak/fleet_processes.py
@@ -15,8 +15,8 @@
 BINARY = os.environ.get("FILBERTWALL", str(
     HERE.parent.parent / "build/default/Source/Commands/filbertwall"))
 
-MESSAGE_PORT = 7720       # where instances reach each other: the proxy
-MESSAGE_REAL_PORT = 7721  # where they listen
+MESSAGE_PORT = 7720       # the proxy listens here for peer messages
+MESSAGE_REAL_PORT = 7721  # the instances listen here
 CALL_PORT = 8166          # calls to control instances: the relay
 CALL_REAL_PORT = 8165
 READY_PORT = 8167
@@ -25,9 +25,10 @@
 
 
 class DatagramProxy(threading.Thread):
-    """Carries messages between instances; each direction of a link may be cut,
-    delayed or made to lose some. Instances are known by their address, so a
-    datagram leaves from its sender's."""
+    """Forwards messages between instances and can drop or delay them per direction.
+
+    Instances identify peers by address, so a datagram keeps the sender's address.
+    """
 
     def __init__(self, hosts, seed):
         super().__init__(daemon=True)
@@ -50,7 +51,7 @@
         try:
             self.out[sender].sendto(data, (target, MESSAGE_REAL_PORT))
         except OSError:
-            pass  # nobody listens there now
+            pass  # the target is not listening
 
     def run(self):
         while self.running:
@@ -112,7 +113,7 @@
         self.write_settings(first_start)
         self.boots += 1
         with open(self.fleet.folder / (self.host + ".log"), "ab") as log:
-            # A write beyond a limit of its size then fails instead of killing.
+            # With SIGXFSZ ignored, a write beyond the limit fails without killing the process.
             self.process = subprocess.Popen(
                 [BINARY, "fleet", str(self.settings)], stdout=log, stderr=log,
                 preexec_fn=lambda: signal.signal(signal.SIGXFSZ,
@@ -138,7 +139,7 @@
         self.folder.mkdir()
 
     def limit_files(self, full):
-        """A full disk: no file may grow beyond a few bytes."""
+        """Simulates a full disk by limiting the file size to 16 bytes."""
         if self.alive():
             size = 16 if full else resource.RLIM_INFINITY
             resource.prlimit(self.process.pid, resource.RLIMIT_FSIZE,
@@ -163,7 +164,7 @@
         return self.controls + self.entries
 
     def cut(self, one, others, share, one_way=False):
-        """Sets the share that is lost between one host and others."""
+        """Sets the loss rate between one host and others."""
         for other in others:
             if other != one:
                 self.proxy.loss[(one, other)] = share
--- a/Tests/System/control_test.py
+++ b/Tests/System/control_test.py
@@ -1,4 +1,7 @@
-"""Control: accepted rules stay, whatever fails. Real processes, real cuts."""
+"""Checks that accepted rules survive process, disk and link failures.
+
+The tests run real processes and cut links with a TCP relay.
+"""
 import random
 import signal
 import sys
@@ -7,12 +10,12 @@
 import relay as relays
 from deployment import request, temporary_deployment, wait_until
 
-IN_FORCE_LIMIT = 2.0  # today's size, from the issue
-AFTER_CUT_LIMIT = 5.0
+IN_FORCE_LIMIT = 2.0  # seconds; required at the present fleet size
+AFTER_CUT_LIMIT = 5.0  # seconds after the links are restored
 
 
 class Scenario:
-    """Three control instances and one without a disk, behind the relay."""
+    """Three control instances and one diskless instance, optionally behind the relay."""
 
     def __init__(self, with_relay=False):
         self.relay = relays.Relay() if with_relay else None
@@ -94,7 +97,7 @@
         scenario.isolate(leader.number, mode, one_way)
         others = scenario.others(leader)
         wait_until(lambda: leader.dump()["control_role"] != "leader", 2.5,
-                   "the isolated leader knows it")
+                   "the isolated leader steps down")
         result = leader.submit(d.rules(2, "# lost side\n", "lost"))
         assert verdict(result) == "unknown", result
         assert "no leader" in result.stderr or "majority" in result.stderr
@@ -103,8 +106,8 @@
                    "the majority accepts")
         d.wait_in_force(3, IN_FORCE_LIMIT, others)
         answer = request(leader.http, "GET", "/stock/x", {"Host": "catalogue"})
-        assert answer[0] == 200, "a cut-off instance goes on serving"
-        if not one_way:  # else the others' newer rules still reach it
+        assert answer[0] == 200, "an isolated instance must keep serving"
+        if not one_way:  # a one-way cut still lets newer rules reach the old leader
             assert leader.dump()["rules_version"] == "1"
         scenario.heal()
         d.wait_in_force(3, AFTER_CUT_LIMIT)
@@ -177,7 +180,7 @@
         wait_until(lambda: (fourth.dump() or {}).get("rules_version") == "1",
                    10, "the stale instance's rules reach it")
         for _ in range(30):
-            assert not fourth.ready(), "it must not serve older rules"
+            assert not fourth.ready(), "the instance must not serve older rules"
             answer = request(fourth.http, "GET", "/stock/x",
                              {"Host": "catalogue"})
             assert answer[0] == 503 and b"not-run" in answer[2], answer
@@ -242,9 +245,9 @@
                     if i.control and i is not leader)
         result = leader.command("remove-member", str(gone.number))
         assert result.returncode == 0, result
-        wait_until(lambda: len(d.voters()) == 2, 5, "one voter less")
+        wait_until(lambda: len(d.voters()) == 2, 5, "one voter is removed")
         time.sleep(1)
-        assert len(d.voters()) == 2, "it must not come back by itself"
+        assert len(d.voters()) == 2, "a removed member must not rejoin on its own"
         d.submit(2)
         gone.kill()
         gone.wipe()
--- a/Tests/System/deployment.py
+++ b/Tests/System/deployment.py
@@ -151,7 +151,7 @@
 
 
 def request(address, method, path, fields=None, body=None, limit=6):
-    """One HTTP request: (status, fields, body). OSError when it fails."""
+    """Sends an HTTP request; returns (status, fields, body). Raises OSError on failure."""
     host, port = address.split(":")
     connection = http.client.HTTPConnection(host, int(port), timeout=limit)
     try:
@@ -165,7 +165,7 @@
 
 
 class Deployment:
-    """Instances and fake backend servers, all in one folder."""
+    """Manages instances and fake backend servers with files in one folder."""
 
     def __init__(self, folder, curve=False):
         self.folder = pathlib.Path(folder)
@@ -235,7 +235,7 @@
         return path
 
     def submit(self, version, extra=""):
-        """Submits until accepted, as an operator who reads "unknown" would."""
+        """Submits until accepted; retries every failure, such as an "unknown" verdict."""
         path = self.rules(version, extra)
         first = next(i for i in self.instances.values() if i.process)
         wait_until(lambda: first.submit(path).returncode == 0, 15,
@@ -274,7 +274,7 @@
                 "%d backend servers known" % count)
 
     def runs(self):
-        """All runs in the ledgers of the backend servers."""
+        """Returns all runs recorded by the backend servers."""
         entries = []
         for process, hosts in self.backends:
             for host in hosts:
--- a/Tests/System/fake_backend.py
+++ b/Tests/System/fake_backend.py
@@ -1,4 +1,4 @@
-"""A small fake backend server: answers requests, keeps a ledger, announces itself.
+"""A small fake backend server: answers and records requests, announces itself.
 
 One process serves one or more addresses. Usage:
     fake_backend.py SERVICE IP:PORT[,IP:PORT...] ANNOUNCE_URL_HOST:PORT[,...]
@@ -50,7 +50,7 @@
             return False
 
     async def announce(self):
-        """Announces to one instance; to the next when it does not answer."""
+        """Announces to one instance, and tries the next one on failure."""
         for _ in self.announce_to:
             target = self.announce_to[self.next_target % len(self.announce_to)]
             if await self.announce_once(target):
--- a/Tests/System/flows_test.py
+++ b/Tests/System/flows_test.py
@@ -1,4 +1,4 @@
-"""Flows: packets sprayed over all instances, each flow to one backend server."""
+"""Checks that packets spread over all instances keep each flow on one backend server."""
 import json
 import random
 import selectors
@@ -15,7 +15,7 @@
 
 
 def packet(source, port, destination, flags, sequence, payload=b""):
-    """A Geneve datagram with an inner IPv4 TCP packet."""
+    """Returns a Geneve datagram with an inner IPv4 TCP packet."""
     total = 40 + len(payload)
     ip = struct.pack("!BBHHHBBH4s4s", 0x45, 0, total, 0, 0, 64, 6, 0,
                      socket.inet_aton(source), socket.inet_aton(destination))
@@ -25,7 +25,10 @@
 
 
 class World:
-    """A fabric, callers and backend servers for packets, in one thread."""
+    """Simulates the network fabric, callers and backend servers for packets.
+
+    Announcements and readiness checks each run on a separate thread.
+    """
 
     def __init__(self, deployment, seed):
         self.deployment = deployment
@@ -99,7 +102,7 @@
             self.fabric.sendto(data, (instance.host, 6081))
 
     def collect(self, seconds=0.0):
-        """Takes in what has reached the backend servers."""
+        """Reads the packets that have reached the backend servers."""
         end = time.monotonic() + seconds
         while True:
             for key, _ in self.selector.select(0):
@@ -122,7 +125,7 @@
         self.seen.setdefault((flow, sequence), []).append(address)
 
     def open(self, count, service="proof"):
-        """Opens flows; gives those whose SYN has arrived, with its place."""
+        """Opens flows; returns those whose SYN arrived, with their backend server set."""
         flows = []
         for _ in range(count):
             self.next_flow += 1
@@ -136,7 +139,7 @@
         return [flow for flow in flows if flow.backend]
 
     def exchange(self, flows, flags, tries=16):
-        """Sends the next packet of each flow until it has arrived."""
+        """Sends the next packet of each flow, with retries until it arrives."""
         for flow in flows:
             flow.sequence += 100
         waiting = list(flows)
@@ -155,7 +158,7 @@
             time.sleep(0.1)
 
     def broken(self, flows):
-        """Sends data on each flow; gives those that it did not reach."""
+        """Sends data on each flow; returns flows not delivered only to their backend server."""
         self.exchange(flows, ACK | PSH)
         return [flow for flow in flows
                 if set(self.seen.get((flow.key(), flow.sequence), [])) !=
@@ -208,7 +211,7 @@
 
 
 def counters(deployment):
-    """The counters of all live instances, added up."""
+    """Returns the counters summed over all live instances."""
     total = {}
     for instance in deployment.instances.values():
         state = instance.dump() if instance.process else None
@@ -218,7 +221,7 @@
 
 
 def planned_changes_break_nothing():
-    """Drain, start, weights and rules, graceful restarts: all at once."""
+    """Flows survive a drain, a new server, weight and rule changes, and graceful restarts."""
     with Scenario() as scenario:
         d, world = scenario.deployment, scenario.world
         flows = world.open(400) + world.open(200, "pattern")
@@ -261,7 +264,10 @@
 
 
 def two_kills():
-    """Each flow is held by its owner and the next in rank; the rest asks."""
+    """Flows survive two killed instances.
+
+    The owner and the next-ranked instance store each flow; other instances query them.
+    """
     with Scenario() as scenario:
         d, world = scenario.deployment, scenario.world
         flows = world.open(600)
@@ -273,7 +279,7 @@
             total += len(bad)
             print("broken after the kill of %d: %d" % (number, len(bad)))
         print("broken by two kills: %d of %d" % (total, len(flows)))
-        # Each flow was seen by some live instance, so none need break.
+        # A live instance has seen each flow, so no flow may break.
         assert total == 0, counters(d)
         assert world.misdelivered == 0
 
@@ -313,7 +319,7 @@
 
 
 def imbalance_stays_within_the_target():
-    """Tetradka's proof service: 4 servers, 2,000 connections each."""
+    """Load of Tetradka's proof service: 4 servers, 2,000 connections each."""
     with Scenario() as scenario:
         world = scenario.world
         flows = world.open(8000)
--- a/Tests/System/relay.py
+++ b/Tests/System/relay.py
@@ -1,8 +1,8 @@
-"""A fault-injecting TCP relay: one listening port for one direction's link.
+"""A fault-injecting TCP relay: one listening port for each ordered pair of instances.
 
-Modes: "pass"; "silent" (bytes are held back, nothing is closed);
+Modes: "pass"; "silent" (data is withheld, connections stay open);
 "reset" (connections are reset at once). `back` and `forth` may differ, so that
-a link can be cut one way. `delay` is in seconds.
+a link can be cut in one direction. `delay` is in seconds.
 """
 import asyncio
 import threading
@@ -19,7 +19,7 @@
 
 
 class Relay:
-    """Runs all links on a thread of its own."""
+    """Runs all links on a dedicated thread."""
 
     def __init__(self):
         self.loop = asyncio.new_event_loop()
@@ -42,7 +42,7 @@
                 self.loop.call_soon_threadsafe(self._reset, link)
 
     def connect(self, deployment):
-        """Puts a link between each pair of instances."""
+        """Adds a link for each ordered pair of instances."""
         numbers = list(deployment.instances)
         for source in numbers:
             for target in numbers:
--- a/Tests/System/requests_test.py
+++ b/Tests/System/requests_test.py
@@ -1,4 +1,4 @@
-"""Orders against two ledgers: the callers' and the backend servers'."""
+"""Checks that no order runs twice, using the records of callers and backend servers."""
 import asyncio
 import json
 import pathlib
@@ -41,7 +41,7 @@
 
 
 async def send_order(address, key, payload, limit=4.0):
-    """One send of an order: (status, outcome, body), status 0 when it broke."""
+    """Sends an order once; returns (status, outcome, body), with status 0 on failure."""
     host, port = address.split(":")
     try:
         return await asyncio.wait_for(_send(host, port, key, payload), limit)
@@ -67,7 +67,7 @@
 
 
 class Callers:
-    """Sends orders at a fixed number at a time, and keeps a ledger."""
+    """Sends orders with a fixed concurrency and records the outcomes."""
 
     def __init__(self, addresses, seed, width):
         self.addresses = addresses
@@ -103,7 +103,7 @@
 
 
 def compare(callers, runs):
-    """Both ledgers: counts of everything, and the breaches among them."""
+    """Returns outcome counts and mismatches between caller and backend server records."""
     ran = {}
     for run in runs:
         ran.setdefault(run[3], []).append(run)
@@ -123,8 +123,8 @@
     return counts, breaches
 
 
-def disturb(scenario, chance, over):
-    """Faults, one after the other, until the callers are done."""
+def inject_faults(scenario, chance, over):
+    """Injects one fault at a time until the callers finish."""
     d = scenario.deployment
     while not over.is_set():
         victim = d.instances[chance.choice(list(d.instances))]
@@ -167,7 +167,7 @@
         callers = Callers([i.http for i in d.instances.values()], seed, 120)
         over = threading.Event()
         chance = random.Random(seed)
-        thread = threading.Thread(target=disturb,
+        thread = threading.Thread(target=inject_faults,
                                   args=(scenario, chance, over))
         thread.start()
         try:
@@ -198,7 +198,10 @@
 
 
 def no_second_run_after_lost_connections():
-    """Resets, cut-off bodies and 5xx: the order is unknown, and runs once."""
+    """An order runs once after a reset, a truncated body or a 5xx status.
+
+    Resets and truncated bodies give the outcome `unknown`; a 5xx status is passed on.
+    """
     with Scenario(backends=1) as scenario:
         d = scenario.deployment
         (host,) = scenario.hosts
@@ -268,7 +271,7 @@
         assert all(a[0] == 200 for a in answers), answers
         assert instance.process.wait(5) == 0
         instance.process = None
-        # Those who carry on know the orders.
+        # The remaining instances hold the outcomes of the orders.
         again = request(d.instances[1].http, "POST", "/orders",
                         {"Host": "catalogue", "Idempotency-Key": "stop-1"},
                         b"payload")
@@ -278,7 +281,7 @@
 
 
 def graceful_stop_serves_waiting_connections():
-    """Connections that wait to be accepted when the stop begins."""
+    """A graceful stop serves connections still in the accept queue."""
     with Scenario(options=["--slots", "30"]) as scenario:
         instance = scenario.deployment.instances[2]
 
@@ -297,7 +300,7 @@
 
 
 def resend(instance, keys):
-    """The outcome of each order, sent once more to one instance."""
+    """Sends each order again to one instance and returns the outcomes."""
     outcomes = []
     for key in keys:
         _, fields, _ = request(instance.http, "POST", "/orders",
@@ -317,7 +320,7 @@
             lost.kill()
             lost.start()
             wait_until(lambda i=lost: (i.dump() or {}).get(
-                "order_amnesia") is False, 10, "its memory is repaired")
+                "order_amnesia") is False, 10, "order memory is repaired")
         wait_until(d.instances[4].ready, 5, "serves")
         assert resend(d.instances[4], keys) == ["complete"] * 40
         names = [run[3] for run in d.runs()]
@@ -331,11 +334,11 @@
         keys = ["cut-%d" % i for i in range(5)]
         scenario.relay.set(relays.links_between([4], [1, 2, 3]), "silent")
         wait_until(lambda: not any(p["alive"] for p in cut.dump()["peers"]),
-                   5, "it knows that it is cut off")
+                   5, "the instance detects its isolation")
         for number in range(20):
             assert request(cut.http, "GET", "/stock/%d" % number,
                            {"Host": "catalogue"})[0] == 200
-        # It can't reach two recorders, so it must not run them.
+        # An instance that cannot reach two recorders must not run orders.
         assert resend(cut, keys) == ["unknown"] * 5
         assert resend(d.instances[1], keys) == ["complete"] * 5
         scenario.relay.set(list(scenario.relay.links), "pass")
