--- a/Source/Shell/ControlRuntime.cc
+++ b/Source/Shell/ControlRuntime.cc
@@ -57,7 +57,7 @@
   // Start the handling of a call; called by std::visit.
   void StartCall(CallId id, const ReportCall& call);
   void StartCall(CallId id, const SubmitCall& call);
-  void StartCall(CallId id, const ReadCall&);
+  void StartCall(CallId id, const ReadRulesCall&);
   void StartCall(CallId id, const HealthCall&);
   void StartCall(CallId id, const MalformedCall&);
 
@@ -108,7 +108,7 @@
     return std::nullopt;
   }
   if (contents.value().tail_truncated) {
-    WriteLog({.id = EventId::kLogTailCut,
+    WriteLog({.id = EventId::kLogTailTruncated,
               .severity = Severity::kWarning,
               .text = "dropped an incomplete last record of the control log"});
   }
@@ -116,7 +116,7 @@
       std::move(contents.value().records);
   if (records.empty()) {
     const wire::DurableRecord first =
-        FirstRecord(this->instance.config, this->settings.fleet.first_start);
+        InitialRecord(this->instance.config, this->settings.fleet.first_start);
     const auto appended = this->store->Append(first);
     if (!appended) {
       WriteLog({.id = EventId::kSyncFailed,
@@ -153,7 +153,7 @@
       [this](std::uint64_t id, const HttpRequest& request) {
         this->HandleCall(id, request);
       });
-  this->http.on_caller_left.connect(
+  this->http.on_caller_disconnected.connect(
       [this](std::uint64_t id) { this->calls.erase(id); });
   this->loop.on_timer.connect([this] { this->HandleTimer(); });
   this->loop.on_stop.connect([this] {
@@ -233,7 +233,7 @@
     this->next_settings_check_at = now + kSettingsCheckInterval;
     this->ReloadSettings();
   }
-  this->Handle(ControlInstanceDue{});
+  this->Handle(ControlInstanceTick{});
 }
 
 void ControlRuntime::HandleDiskFailure(const StoreFailure& failure) {
@@ -263,7 +263,7 @@
   this->Handle(RulesSubmitted{.call = id, .file = call.file});
 }
 
-void ControlRuntime::StartCall(CallId id, const ReadCall&) {
+void ControlRuntime::StartCall(CallId id, const ReadRulesCall&) {
   this->Handle(RulesRead{.call = id});
 }
 
@@ -290,7 +290,7 @@
       this->adapter.calls.write(pending.request, pending.call, effect);
   const bool report = std::holds_alternative<ReportCall>(pending.call);
   if (!report || effect.verdict != CallVerdict::kAccepted) {
-    WriteLog({.id = EventId::kSubmission,
+    WriteLog({.id = EventId::kSubmissionResult,
               .text = "call=" + pending.request.path +
                       " status=" + std::to_string(answer.status()) +
                       " leader=" + FormatIp(effect.leader) + " " +
@@ -303,7 +303,7 @@
   const TimePoint started = FleetNow();
   auto written = this->store->Append(effect.record);
   if (written && this->store->NeedsSnapshot()) {
-    written = this->store->Replace(FullRecord(this->instance.replica));
+    written = this->store->Replace(SnapshotRecord(this->instance.replica));
   }
   this->sync_time.Add(
       std::chrono::duration_cast<Microseconds>(FleetNow() - started));
@@ -315,10 +315,10 @@
 std::string ControlRuntime::FormatCurrentMetrics() const {
   return FormatMetrics(CollectMetrics(
       this->instance,
-      ProcessFigures{.log_lines_lost = LogLinesLost(),
-                     .malformed_messages = this->link.Malformed(),
-                     .message_bytes_sent = this->link.BytesSent(),
-                     .sync = this->sync_time},
+      ProcessStatistics{.log_lines_lost = LogLinesLost(),
+                        .malformed_messages = this->link.MalformedCount(),
+                        .message_bytes_sent = this->link.BytesSent(),
+                        .sync = this->sync_time},
       FleetNow()));
 }
 
--- a/Source/Shell/DatagramPort.cc
+++ b/Source/Shell/DatagramPort.cc
@@ -97,7 +97,7 @@
                         std::span<const std::uint8_t> body) {
   OutgoingDatagram& item = this->outgoing[this->queued];
   item.address = ToSystem(to);
-  const std::size_t prefix_size = std::min(prefix.size(), kLongestHead);
+  const std::size_t prefix_size = std::min(prefix.size(), kMaxPrefixBytes);
   std::copy_n(prefix.begin(), prefix_size, item.prefix.begin());
   item.parts[0] = {.iov_base = item.prefix.data(), .iov_len = prefix_size};
   item.parts[1] = {.iov_base = const_cast<std::uint8_t*>(body.data()),
--- a/Source/Shell/DatagramPort.h
+++ b/Source/Shell/DatagramPort.h
@@ -50,7 +50,7 @@
 
   std::uint64_t SendFailures() const { return this->send_failures; }
 
-  static constexpr std::size_t kLongestHead = 16;
+  static constexpr std::size_t kMaxPrefixBytes = 16;
 
  private:
   static constexpr std::size_t kBatchSize = 32;
@@ -58,7 +58,7 @@
 
   struct OutgoingDatagram {
     sockaddr_in address{};
-    std::array<std::uint8_t, kLongestHead> prefix{};
+    std::array<std::uint8_t, kMaxPrefixBytes> prefix{};
     std::array<iovec, 2> parts{};
   };
 
--- a/Source/Shell/EntryRuntime.cc
+++ b/Source/Shell/EntryRuntime.cc
@@ -128,7 +128,7 @@
         this->HandleCall(id, request);
       });
   this->loop.on_timer.connect([this] {
-    this->Handle(EntryDue{});
+    this->Handle(EntryTick{});
     if (FleetNow() >= this->next_settings_check_at) {
       this->next_settings_check_at = FleetNow() + kSettingsCheckInterval;
       this->ReloadSettings();
@@ -180,7 +180,7 @@
   this->resets.clear();
   this->resets.reserve(batch.size());
   const TimePoint now = FleetNow();
-  NoteStall(this->instance, now);
+  DetectStall(this->instance, now);
   this->UpdateAdmissionRound(now);
   for (const ReceivedDatagram& datagram : batch) {
     this->HandlePacket(datagram, now);
@@ -207,12 +207,12 @@
 std::string EntryRuntime::FormatCurrentMetrics() const {
   return FormatMetrics(CollectMetrics(
       this->instance,
-      ProcessFigures{.log_lines_lost = LogLinesLost(),
-                     .malformed_messages = this->link.Malformed(),
-                     .malformed_packets = this->malformed_packets,
-                     .send_failures = this->packets.SendFailures(),
-                     .message_bytes_sent = this->link.BytesSent(),
-                     .batch = this->batch_time},
+      ProcessStatistics{.log_lines_lost = LogLinesLost(),
+                        .malformed_messages = this->link.MalformedCount(),
+                        .malformed_packets = this->malformed_packets,
+                        .send_failures = this->packets.SendFailures(),
+                        .message_bytes_sent = this->link.BytesSent(),
+                        .batch = this->batch_time},
       FleetNow()));
 }
 
@@ -236,9 +236,9 @@
     case Verdict::kForward: {
       const PlacedServer& server =
           this->instance.forwarder.placement.servers[decision.server];
-      codec.stamp(datagram.bytes, server.token);
-      std::array<std::uint8_t, DatagramPort::kLongestHead> head{};
-      const std::size_t length = codec.write_head(server.number, head);
+      codec.write_token(datagram.bytes, server.token);
+      std::array<std::uint8_t, DatagramPort::kMaxPrefixBytes> head{};
+      const std::size_t length = codec.write_header(server.number, head);
       this->packets.Send(server.address, std::span(head.data(), length),
                          datagram.bytes);
       return;
@@ -261,7 +261,8 @@
 
 void EntryRuntime::ProcessDueOpenings() {
   const TimePoint now = FleetNow();
-  std::vector<HeldOpening> due = ReleaseDue(this->instance.forwarder.held, now);
+  std::vector<HeldOpening> due =
+      TakeDueOpenings(this->instance.forwarder.held, now);
   if (due.empty()) {
     return;
   }
@@ -282,7 +283,7 @@
   }
   const ServiceIndex service =
       ServiceOf(route->second, FlowKeyHash()(packet.key));
-  const ServicePace& pace = forwarder.admission.services.at(service);
+  const ServiceMeasurements& pace = forwarder.admission.services.at(service);
   return " expected=" +
          std::to_string(
              ExpectedSlowness(forwarder.admission, service, FleetNow())) +
--- a/Source/Shell/FleetLink.cc
+++ b/Source/Shell/FleetLink.cc
@@ -22,8 +22,8 @@
   return this->port.Start(address);
 }
 
-std::uint64_t FleetLink::Malformed() const {
-  return this->malformed + this->reassembler.Malformed();
+std::uint64_t FleetLink::MalformedCount() const {
+  return this->malformed + this->reassembler.MalformedCount();
 }
 
 void FleetLink::Send(const SendMessage& effect) {
@@ -45,7 +45,7 @@
         reinterpret_cast<const char*>(datagram.bytes.data()),
         datagram.bytes.size());
     const auto assembled =
-        this->reassembler.Take(datagram.from.ip, bytes, FleetNow());
+        this->reassembler.AddDatagram(datagram.from.ip, bytes, FleetNow());
     if (!assembled) {
       continue;
     }
--- a/Source/Shell/FleetLink.h
+++ b/Source/Shell/FleetLink.h
@@ -32,7 +32,7 @@
   void Send(const SendMessage& effect);
 
   /// Returns the number of malformed datagrams and messages received.
-  std::uint64_t Malformed() const;
+  std::uint64_t MalformedCount() const;
   std::uint64_t BytesSent() const { return this->bytes_sent; }
 
  private:
--- a/Source/Shell/HttpServer.cc
+++ b/Source/Shell/HttpServer.cc
@@ -66,7 +66,7 @@
 void HttpServer::OnClosed(evhttp_connection*, void* pending) {
   const PendingRequest entry = *static_cast<PendingRequest*>(pending);
   entry.server->pending.erase(entry.id);
-  entry.server->on_caller_left.emit(entry.id);
+  entry.server->on_caller_disconnected.emit(entry.id);
 }
 
 void HttpServer::Answer(std::uint64_t id, const wire::Answer& answer) {
--- a/Source/Shell/HttpServer.h
+++ b/Source/Shell/HttpServer.h
@@ -23,7 +23,7 @@
 
   sigc::signal<void(std::uint64_t id, HttpRequest request)> on_request;
   /// Emitted when the connection of an unanswered request is closed.
-  sigc::signal<void(std::uint64_t id)> on_caller_left;
+  sigc::signal<void(std::uint64_t id)> on_caller_disconnected;
 
   /// Returns false when the address cannot be bound.
   bool Start(const Endpoint& address);
--- a/Source/Shell/Messenger.cc
+++ b/Source/Shell/Messenger.cc
@@ -214,9 +214,9 @@
   this->on_message.emit(is_operator ? identity : "", envelope);
 }
 
-wire::Envelope Ask(const std::string& address, const std::string& server_key,
-                   const KeyPair& keys, const wire::Envelope& request,
-                   Milliseconds limit) {
+wire::Envelope SendRequest(const std::string& address,
+                           const std::string& server_key, const KeyPair& keys,
+                           const wire::Envelope& request, Milliseconds limit) {
   zmq::context_t context;
   zmq::socket_t socket(context, zmq::socket_type::dealer);
   socket.set(zmq::sockopt::linger, 0);
--- a/Source/Shell/Messenger.h
+++ b/Source/Shell/Messenger.h
@@ -71,8 +71,8 @@
 
 /// Sends an operator's request and returns the reply, or an empty envelope when
 /// none arrives within `limit`. Blocks, so it is for the command line only.
-wire::Envelope Ask(const std::string& address, const std::string& server_key,
-                   const KeyPair& keys, const wire::Envelope& request,
-                   Milliseconds limit);
+wire::Envelope SendRequest(const std::string& address,
+                           const std::string& server_key, const KeyPair& keys,
+                           const wire::Envelope& request, Milliseconds limit);
 
 }  // namespace filbertwall
--- a/Source/Shell/Runtime.cc
+++ b/Source/Shell/Runtime.cc
@@ -55,7 +55,7 @@
   void operator()(const ReplyToOperator& effect);
   void operator()(const PersistControl& effect);
   void operator()(const PersistRules& effect);
-  void operator()(const AnswerLocal& effect);
+  void operator()(const AnswerLocalHttp& effect);
   void operator()(const StartAttempt& effect);
   void operator()(const CancelAttempt& effect);
   void operator()(const AnswerCaller& effect);
@@ -114,7 +114,8 @@
 }
 
 RunError Runtime::LoadDisk() {
-  NodeParts parts{.settings = this->settings, .incarnation = RandomNumber()};
+  NodeInitialState initial_state{.settings = this->settings,
+                                 .incarnation = RandomNumber()};
   const std::string& folder = this->settings.data_folder;
   if (this->settings.roles.control) {
     auto contents = this->store.Open(folder);
@@ -124,14 +125,14 @@
                 .text = contents.error().detail});
       return RunError::kDisk;
     }
-    parts.control_log = contents.value().records;
+    initial_state.control_log = contents.value().records;
     if (contents.value().tail_truncated) {
       WriteLog(
-          {.id = EventId::kLogTailCut,
+          {.id = EventId::kLogTailTruncated,
            .severity = Severity::kWarning,
            .text = "dropped an incomplete last record of the control log"});
     }
-    if (parts.control_log.empty()) {
+    if (initial_state.control_log.empty()) {
       // An empty log gets a new incarnation: no vote or entry that another
       // instance may rely on has been written to this disk.
       wire::DurableRecord record;
@@ -141,16 +142,16 @@
         this->HandleDiskFailure(appended.error());
         return RunError::kDisk;
       }
-      parts.control_log.push_back(record);
+      initial_state.control_log.push_back(record);
     }
   } else if (!folder.empty() && std::filesystem::exists(folder + kRulesName)) {
     const auto bytes = LoadFile(folder + kRulesName);
     wire::RulesFile rules;
     if (bytes && rules.ParseFromString(bytes.value())) {
-      parts.saved_rules = rules;
+      initial_state.saved_rules = rules;
     }
   }
-  this->node = MakeNode(parts);
+  this->node = MakeNode(initial_state);
   return RunError::kNone;
 }
 
@@ -191,16 +192,16 @@
       [this](std::uint64_t id, HttpRequest request) {
         this->Handle(RequestArrived{.id = id, .request = std::move(request)});
       });
-  this->caller_server.on_caller_left.connect(
-      [this](std::uint64_t id) { this->Handle(CallerLeft{.id = id}); });
+  this->caller_server.on_caller_disconnected.connect(
+      [this](std::uint64_t id) { this->Handle(CallerDisconnected{.id = id}); });
   this->announce_server.on_request.connect(
       [this](std::uint64_t id, const HttpRequest& request) {
         if (request.method == "POST" && request.path == "/announce") {
           this->Handle(AnnouncementArrived{.id = id, .json = request.body});
         } else if (request.path == "/ready") {
-          this->Handle(HealthAsked{.id = id});
+          this->Handle(HealthCheckRequested{.id = id});
         } else {
-          (*this)(AnswerLocal{.id = id, .status = 404});
+          (*this)(AnswerLocalHttp{.id = id, .status = 404});
         }
       });
   this->packets.on_packets.connect(
@@ -318,7 +319,7 @@
   const TimePoint started = Now();
   auto written = this->store.Append(effect.record);
   if (written && this->store.NeedsSnapshot()) {
-    written = this->store.Replace(FullRecord(this->node.replica));
+    written = this->store.Replace(SnapshotRecord(this->node.replica));
   }
   this->sync_us(static_cast<double>(
       std::chrono::duration_cast<Microseconds>(Now() - started).count()));
@@ -338,7 +339,7 @@
   }
 }
 
-void Runtime::operator()(const AnswerLocal& effect) {
+void Runtime::operator()(const AnswerLocalHttp& effect) {
   wire::Answer answer;
   answer.set_status(static_cast<std::uint32_t>(effect.status));
   answer.set_body(effect.json + "\n");
@@ -390,7 +391,7 @@
   return runtime.Run();
 }
 
-std::string FormatFolder(const Settings& settings) {
+std::string FormatDataFolder(const Settings& settings) {
   const std::string& folder = settings.data_folder;
   if (folder.empty()) {
     return "data_folder: expected a folder in the settings";
@@ -405,8 +406,8 @@
   if (!contents.value().records.empty()) {
     return folder + ": expected a folder without a control log";
   }
-  const auto written =
-      store.Append(FormatRecord(settings.id, RandomNumber(), RandomNumber()));
+  const auto written = store.Append(
+      SingleVoterRecord(settings.id, RandomNumber(), RandomNumber()));
   return written ? "" : written.error().detail;
 }
 
--- a/Source/Shell/Runtime.h
+++ b/Source/Shell/Runtime.h
@@ -25,6 +25,6 @@
 /// Initialises a data folder for the first voter of a new cluster. Returns an
 /// error message, empty on success. A folder that already holds a control log
 /// is an error.
-std::string FormatFolder(const Settings& settings);
+std::string FormatDataFolder(const Settings& settings);
 
 }  // namespace filbertwall
--- a/Source/Transport/Fragments.cc
+++ b/Source/Transport/Fragments.cc
@@ -88,9 +88,9 @@
   }
 }
 
-std::optional<std::string> Reassembler::Take(std::uint32_t sender,
-                                             std::string_view datagram,
-                                             TimePoint now) {
+std::optional<std::string> Reassembler::AddDatagram(std::uint32_t sender,
+                                                    std::string_view datagram,
+                                                    TimePoint now) {
   const auto header = ReadHeader(datagram);
   if (!header) {
     this->malformed += 1;
--- a/Source/Transport/Fragments.h
+++ b/Source/Transport/Fragments.h
@@ -32,11 +32,12 @@
  public:
   /// Adds a datagram received at `now` from `sender`. Returns the message that
   /// the datagram completes, or nullopt when fragments are missing or the
-  /// datagram is malformed; malformed datagrams count in `Malformed`.
-  std::optional<std::string> Take(std::uint32_t sender,
-                                  std::string_view datagram, TimePoint now);
+  /// datagram is malformed; malformed datagrams count in `MalformedCount`.
+  std::optional<std::string> AddDatagram(std::uint32_t sender,
+                                         std::string_view datagram,
+                                         TimePoint now);
 
-  std::uint64_t Malformed() const { return this->malformed; }
+  std::uint64_t MalformedCount() const { return this->malformed; }
 
  private:
   struct Key {
--- a/Tests/Admission/AdmissionTest.cc
+++ b/Tests/Admission/AdmissionTest.cc
@@ -17,10 +17,10 @@
 void SetInFlight(Admission& admission, std::uint32_t flows) {
   admission.services.resize(1);
   while (admission.services[0].in_flight > flows) {
-    NoteLeft(admission, 0);
+    RemoveFlowInFlight(admission, 0);
   }
   while (admission.services[0].in_flight < flows) {
-    NoteBegun(admission, 0);
+    AddFlowInFlight(admission, 0);
   }
 }
 
@@ -31,18 +31,18 @@
   SetInFlight(admission, static_cast<std::uint32_t>(duration.count()));
   for (Milliseconds passed{0}; passed < time; passed += Milliseconds(1)) {
     now += Milliseconds(1);
-    NoteServed(admission, 0, duration, kObjective, now);
+    RecordFlowDuration(admission, 0, duration, kObjective, now);
   }
   return now;
 }
 
 /// Returns the share of callers whose flows are admitted.
-double ShareAdmitted(Admission& admission, bool repeatable, TimePoint now) {
+double ShareAdmitted(Admission& admission, bool retryable, TimePoint now) {
   double admitted = 0;
   for (std::uint32_t caller = 0; caller < kCallers; ++caller) {
     admitted +=
-        Admit(admission, {.caller = caller, .repeatable = repeatable}, now) ? 1
-                                                                            : 0;
+        Admit(admission, {.caller = caller, .retryable = retryable}, now) ? 1
+                                                                          : 0;
   }
   return admitted / kCallers;
 }
@@ -65,7 +65,7 @@
   DOUBLES_EQUAL(1, ShareAdmitted(admission, true, kStart), 0);
   // As long as no flow has ended, flows in flight do not indicate a queue.
   for (int i = 0; i < 500; ++i) {
-    NoteBegun(admission, 0);
+    AddFlowInFlight(admission, 0);
   }
   DOUBLES_EQUAL(1, ShareAdmitted(admission, true, kStart), 0);
 }
@@ -75,7 +75,7 @@
   const TimePoint now =
       SimulateFlows(admission, Milliseconds(35), Milliseconds(500), kStart);
   for (int i = 0; i < 500; ++i) {
-    NoteBegun(admission, 0);
+    AddFlowInFlight(admission, 0);
   }
   DOUBLES_EQUAL(1, ShareAdmitted(admission, true, now), 0);
 }
@@ -95,7 +95,7 @@
       SimulateFlows(admission, Milliseconds(46), Milliseconds(500), kStart);
   const double before = ExpectedSlowness(admission, 0, now);
   for (int i = 0; i < 90; ++i) {
-    NoteBegun(admission, 0);
+    AddFlowInFlight(admission, 0);
   }
   CHECK(ExpectedSlowness(admission, 0, now) > before + 0.2);
 }
@@ -109,7 +109,7 @@
   bool next_round_differs = false;
   for (std::uint32_t caller = 0; caller < kCallers; ++caller) {
     one.round = 1;
-    const AdmissionRequest request{.caller = caller, .repeatable = true};
+    const AdmissionRequest request{.caller = caller, .retryable = true};
     const bool admitted = Admit(one, request, now);
     other.round = 1;
     CHECK_EQUAL(admitted, Admit(other, request, now));
@@ -151,7 +151,7 @@
   CHECK(ShareAdmitted(admission, true, now) < 0.1);
   DOUBLES_EQUAL(
       1, ShareAdmitted(admission, true, now + std::chrono::seconds(2)), 0);
-  ForgetMeasured(admission);
+  ResetMeasurements(admission);
   DOUBLES_EQUAL(1, ShareAdmitted(admission, true, now), 0);
 }
 
@@ -168,7 +168,7 @@
   Admission admission;
   const TimePoint now =
       SimulateFlows(admission, Milliseconds(140), Milliseconds(500), kStart);
-  CHECK(Admit(admission, {.service = 1, .repeatable = true}, now));
+  CHECK(Admit(admission, {.service = 1, .retryable = true}, now));
 }
 
 TEST_GROUP(Overload){};
@@ -176,7 +176,7 @@
 TEST(Overload, RefusesAlmostNothingBelowCapacity) {
   for (const double load : {0.5, 0.7}) {
     const OverloadOutcome outcome =
-        PlayOverload({.surge_load = load, .surge_s = 10}, kWithAdmission);
+        SimulateOverload({.surge_load = load, .surge_s = 10}, kWithAdmission);
     CHECK(InTimeShare(outcome) >= 0.99);
     CHECK(outcome.refused <= outcome.asked / 1000);
   }
@@ -185,25 +185,25 @@
 TEST(Overload, AnswersTwiceAsManyInTimeAsWithoutAdmission) {
   for (const double load : {1.5, 2.0}) {
     const OverloadScenario scenario{.surge_load = load, .surge_s = 10};
-    CHECK(InTimeShare(PlayOverload(scenario, kWithAdmission)) >=
-          2 * InTimeShare(PlayOverload(scenario, kWithoutAdmission)));
+    CHECK(InTimeShare(SimulateOverload(scenario, kWithAdmission)) >=
+          2 * InTimeShare(SimulateOverload(scenario, kWithoutAdmission)));
   }
 }
 
 TEST(Overload, AnswersOrdersInTimeWhileTheyAloneFitCapacity) {
   const OverloadOutcome outcome =
-      PlayOverload({.surge_load = 1.2, .surge_s = 10}, kWithAdmission);
+      SimulateOverload({.surge_load = 1.2, .surge_s = 10}, kWithAdmission);
   CHECK(outcome.orders_in_time >= 0.95 * outcome.orders);
 }
 
 TEST(Overload, ServersShedAlmostNothing) {
   const OverloadOutcome outcome =
-      PlayOverload({.surge_load = 1.5, .surge_s = 10}, kWithAdmission);
+      SimulateOverload({.surge_load = 1.5, .surge_s = 10}, kWithAdmission);
   CHECK(outcome.shed <= outcome.asked / 100);
 }
 
 TEST(Overload, RefusesAlmostNothingAfterTheSurge) {
-  const OverloadOutcome outcome = PlayOverload(
+  const OverloadOutcome outcome = SimulateOverload(
       {.surge_load = 1.2, .surge_s = 4, .calm_s = 4}, kWithAdmission);
   CHECK(outcome.refused_when_calm <= outcome.asked / 100);
 }
--- a/Tests/Admission/OverloadTargetTest.cc
+++ b/Tests/Admission/OverloadTargetTest.cc
@@ -13,8 +13,8 @@
 
 TEST(OverloadTarget, AnswersNineTenthsOfCapacityInTime) {
   for (const double load : {1.2, 1.5, 2.0}) {
-    const OverloadOutcome outcome =
-        PlayOverload({.surge_load = load, .surge_s = 10}, {.admission = true});
+    const OverloadOutcome outcome = SimulateOverload(
+        {.surge_load = load, .surge_s = 10}, {.admission = true});
     const double possible = std::min<double>(outcome.capacity, outcome.asked);
     CHECK(outcome.in_time >= 0.90 * possible);
     CHECK(outcome.orders_in_time >= 0.95 * outcome.orders);
--- a/Tests/Control/FleetReplicaTest.cc
+++ b/Tests/Control/FleetReplicaTest.cc
@@ -122,7 +122,7 @@
   Submit(group, FindLeader(group), 1, "a");
   RunFor(group, Milliseconds(200));
   LONGS_EQUAL(1, standby.committed.rules().version());
-  CHECK(KnowsNewest(standby, group.now, Milliseconds(400)));
+  CHECK(HasFreshState(standby, group.now, Milliseconds(400)));
 }
 
 TEST(FleetReplica, VotersDoNotChangeWithoutALoss) {
@@ -172,8 +172,8 @@
   const std::uint32_t follower = FindLeader(group) == 2 ? 3 : 2;
   const Replica& replica = group.replicas.at(follower);
   constexpr Milliseconds kLimit{400};
-  CHECK(KnowsNewest(replica, group.now, kLimit));
-  CHECK_FALSE(KnowsNewest(replica, group.now + Milliseconds(600), kLimit));
+  CHECK(HasFreshState(replica, group.now, kLimit));
+  CHECK_FALSE(HasFreshState(replica, group.now + Milliseconds(600), kLimit));
 }
 
 TEST(FleetReplica, RandomHistoriesWithReplacementsKeepAcceptedFiles) {
--- a/Tests/Control/ReplicaGroup.h
+++ b/Tests/Control/ReplicaGroup.h
@@ -118,8 +118,8 @@
   if (group.open_membership) {
     replica.config.open_membership = true;
     replica.config.lease = Milliseconds(600);
-    replica.config.restart_wait = Milliseconds(250);
-    replica.config.election_spread = Milliseconds(250);
+    replica.config.restart_vote_delay = Milliseconds(250);
+    replica.config.election_jitter = Milliseconds(250);
   }
   for (wire::DurableRecord record : group.disks[id]) {
     if (group.faults.forget_promises) {
@@ -158,7 +158,7 @@
   for (std::uint32_t id = 1; id <= size; ++id) {
     group.disks[id] = {};
   }
-  group.disks[1] = {FormatRecord(1, 50, 7)};
+  group.disks[1] = {SingleVoterRecord(1, 50, 7)};
   for (std::uint32_t id = 2; id <= size; ++id) {
     group.disks[id] = {EmptyDiskRecord(group)};
   }
--- a/Tests/Control/ReplicaTest.cc
+++ b/Tests/Control/ReplicaTest.cc
@@ -119,5 +119,6 @@
   CHECK(state.history_size() <= kHistoryLimit);
   wire::RulesFile old_file;
   old_file.set_version(1);
-  CHECK(RuleOn(state, old_file).kind == Ruling::Kind::kForgotten);
+  CHECK(DecideRulesFile(state, old_file).kind ==
+        RulesDecision::Kind::kOutsideHistory);
 }
--- a/Tests/Distribution/PackedContentsTest.cc
+++ b/Tests/Distribution/PackedContentsTest.cc
@@ -15,7 +15,7 @@
   Rules rules{.version = version};
   for (std::uint16_t port = 1; port <= last_port; ++port) {
     AddressRule rule{.address = {.ip = 5, .port = port}, .service = "proof"};
-    rule.shares.push_back(SharedService{.service = "proof"});
+    rule.shares.push_back(WeightedService{.service = "proof"});
     rules.addresses[rule.address] = rule;
   }
   return rules;
@@ -29,7 +29,7 @@
   record.set_port(80);
   record.set_slots(2);
   record.set_incarnation(1);
-  MergeRecord(registry, record, kStart);
+  MergeServerRecord(registry, record, kStart);
 }
 
 }  // namespace
@@ -54,7 +54,7 @@
   CHECK(first.size() < 10000);
   wire::Update update;
   update.set_packed_routes(first);
-  CHECK(Unpack(update));
+  CHECK(UnpackUpdate(update));
   LONGS_EQUAL(1000, update.routes().set_size());
   CHECK(update.packed_routes().empty());
 }
@@ -64,7 +64,7 @@
   AddVersion(this->history, MakeRules(4, 1001));
   wire::Update update;
   update.set_packed_routes(PackRoutesSince(this->packed, this->history, 3));
-  CHECK(Unpack(update));
+  CHECK(UnpackUpdate(update));
   CHECK_EQUAL(3, update.routes().base_version());
   LONGS_EQUAL(1, update.routes().set_size());
   CHECK(PackRoutesSince(this->packed, this->history, 4).empty());
@@ -84,7 +84,7 @@
   update.set_packed_servers(
       PackRecordsAfter(this->packed, this->registry, 80, kMaxRecords, kStart)
           .bytes);
-  CHECK(Unpack(update));
+  CHECK(UnpackUpdate(update));
   LONGS_EQUAL(1, update.servers_size());
   CHECK_EQUAL(std::string("b"), update.servers(0).id());
 }
@@ -98,14 +98,14 @@
   record.set_slots(2);
   record.set_incarnation(1);
   record.set_warmup_ms(2000);
-  MergeRecord(this->registry, record, kStart);
+  MergeServerRecord(this->registry, record, kStart);
   PackRecordsAfter(this->packed, this->registry, 80, kMaxRecords, kStart);
   wire::Update update;
   update.set_packed_servers(PackRecordsAfter(this->packed, this->registry, 80,
                                              kMaxRecords,
                                              kStart + Milliseconds(1500))
                                 .bytes);
-  CHECK(Unpack(update));
+  CHECK(UnpackUpdate(update));
   LONGS_EQUAL(500, update.servers(0).warmup_ms());
 }
 
@@ -116,7 +116,7 @@
     wire::Update update;
     update.set_packed_routes(PackRoutesSince(this->packed, this->history, 0));
     update.set_packed_servers(bytes);
-    CHECK_FALSE(Unpack(update));
+    CHECK_FALSE(UnpackUpdate(update));
     CHECK_FALSE(update.has_routes());
     LONGS_EQUAL(0, update.servers_size());
   }
--- a/Tests/Distribution/RouteHistoryTest.cc
+++ b/Tests/Distribution/RouteHistoryTest.cc
@@ -13,8 +13,8 @@
   Rules rules{.version = version};
   for (std::uint16_t port = first_port; port <= last_port; ++port) {
     AddressRule rule{.address = {.ip = 5, .port = port}, .service = "proof"};
-    rule.shares.push_back(SharedService{.service = "proof"});
-    rule.treatment.timeout = Milliseconds(timeout_ms);
+    rule.shares.push_back(WeightedService{.service = "proof"});
+    rule.route_settings.timeout = Milliseconds(timeout_ms);
     rules.addresses[rule.address] = rule;
   }
   return rules;
--- a/Tests/Fleet/CrowdTest.cc
+++ b/Tests/Fleet/CrowdTest.cc
@@ -35,7 +35,7 @@
 
 /// Event loop of a control instance.
 struct EventLoop {
-  std::deque<FleetWorld::Letter> inbox;
+  std::deque<FleetWorld::InFlightMessage> inbox;
   double busy_us = 0;  ///< Work carried over from earlier steps.
 };
 
@@ -81,7 +81,8 @@
     }
     fleet.spent_us = 0;
     for (int i = 0; i < kReceiveBatch && !loop.inbox.empty(); ++i) {
-      const FleetWorld::Letter in_flight = std::move(loop.inbox.front());
+      const FleetWorld::InFlightMessage in_flight =
+          std::move(loop.inbox.front());
       loop.inbox.pop_front();
       fleet.spent_us += kReceiveUs;
       Apply(fleet.world, id,
@@ -90,16 +91,16 @@
     }
     if (fleet.world.now >= NextDue(instance)) {
       fleet.spent_us += kReceiveUs;
-      Apply(fleet.world, id, ControlInstanceDue{});
+      Apply(fleet.world, id, ControlInstanceTick{});
     }
     loop.busy_us += fleet.spent_us;
   }
 }
 
 void DeliverMessages(SimulatedFleet& fleet) {
-  std::vector<FleetWorld::Letter> messages;
-  messages.swap(fleet.world.letters);
-  for (FleetWorld::Letter& in_flight : messages) {
+  std::vector<FleetWorld::InFlightMessage> messages;
+  messages.swap(fleet.world.messages_in_flight);
+  for (FleetWorld::InFlightMessage& in_flight : messages) {
     const InstanceAddress to = in_flight.message.to;
     const auto loop = fleet.loops.find(to);
     if (loop != fleet.loops.end()) {
@@ -137,7 +138,7 @@
   }
   for (auto& [id, instance] : fleet.world.entries) {
     if (fleet.world.now >= NextDue(instance)) {
-      Apply(fleet.world, id, EntryDue{});
+      Apply(fleet.world, id, EntryTick{});
     }
   }
   DeliverMessages(fleet);
@@ -175,7 +176,7 @@
 }
 
 void RestartAll(SimulatedFleet& fleet) {
-  fleet.world.letters.clear();
+  fleet.world.messages_in_flight.clear();
   for (auto& [id, loop] : fleet.loops) {
     loop = EventLoop{};
   }
--- a/Tests/Fleet/FleetTest.cc
+++ b/Tests/Fleet/FleetTest.cc
@@ -225,7 +225,7 @@
   for (const auto& [id, control] : this->world.controls) {
     CHECK_EQUAL(9, control.replica.committed.rules().version());
     CHECK(IsVoter(control.replica) || id == FindStandby(this->world));
-    CHECK(KnowsNewest(control.replica, this->world.now, Milliseconds(400)));
+    CHECK(HasFreshState(control.replica, this->world.now, Milliseconds(400)));
   }
 }
 
@@ -297,14 +297,14 @@
   const FlowPacket opening{.key = {.caller = {.ip = 7, .port = 1},
                                    .address = {.ip = 0x0A000001, .port = 80}},
                            .opens = true};
-  NoteStall(entry, this->world.now);
+  DetectStall(entry, this->world.now);
   CHECK(DecidePacket(entry.forwarder, opening, this->world.now).verdict ==
         Verdict::kForward);
   const TimePoint resumed = this->world.now + std::chrono::seconds(2);
-  NoteStall(entry, resumed);
+  DetectStall(entry, resumed);
   CHECK(DecidePacket(entry.forwarder, opening, resumed).reason ==
         ForwardReason::kStale);
-  Apply(this->world, kFirstEntry, EntryEvent(EntryDue{}));
+  Apply(this->world, kFirstEntry, EntryEvent(EntryTick{}));
   const TimePoint after_discard = resumed + Milliseconds(200);
   CHECK(DecidePacket(entry.forwarder, opening, after_discard).verdict ==
         Verdict::kForward);
@@ -390,7 +390,7 @@
       // One entry instance observes one flow to each server every 200 ms.
       Forwarder& forwarder = this->world.entries.at(kFirstEntry).forwarder;
       for (const auto& [id, index] : forwarder.placement.by_id) {
-        OutcomeDelta& delta = forwarder.outcomes.untold[index];
+        OutcomeDelta& delta = forwarder.outcomes.unreported[index];
         (id == "a1" && failed > 0 ? delta.failed : delta.served) += 1;
       }
       Run(this->world, Milliseconds(200));
--- a/Tests/Fleet/FleetWorld.h
+++ b/Tests/Fleet/FleetWorld.h
@@ -28,11 +28,11 @@
   /// Called for each message, including those that are lost.
   std::function<void(InstanceAddress, const SendMessage&)> on_send =
       [](InstanceAddress, const SendMessage&) {};
-  struct Letter {
+  struct InFlightMessage {
     InstanceAddress from = 0;
     SendMessage message;
   };
-  std::vector<Letter> letters;
+  std::vector<InFlightMessage> messages_in_flight;
   std::map<CallId, AnswerCall> answers;
   CallId next_call = 1;
   std::uint64_t next_incarnation = 1000;
@@ -43,7 +43,7 @@
                          const SendMessage& effect) {
   world.on_send(from, effect);
   if (!world.is_lost(from, effect.to)) {
-    world.letters.push_back({.from = from, .message = effect});
+    world.messages_in_flight.push_back({.from = from, .message = effect});
   }
 }
 
@@ -86,7 +86,7 @@
   const FleetConfig config = MakeInstanceConfig(world, id);
   std::vector<wire::DurableRecord>& disk = world.disks[id];
   if (disk.empty()) {
-    disk.push_back(FirstRecord(config, first_start));
+    disk.push_back(InitialRecord(config, first_start));
   }
   world.controls.insert_or_assign(id, MakeControlInstance(config, disk));
   world.down.erase(id);
@@ -103,10 +103,10 @@
 /// Delivers messages until none is left, including those that are added
 /// meanwhile.
 inline void DeliverAll(FleetWorld& world) {
-  while (!world.letters.empty()) {
-    std::vector<FleetWorld::Letter> delivered;
-    delivered.swap(world.letters);
-    for (const FleetWorld::Letter& item : delivered) {
+  while (!world.messages_in_flight.empty()) {
+    std::vector<FleetWorld::InFlightMessage> delivered;
+    delivered.swap(world.messages_in_flight);
+    for (const FleetWorld::InFlightMessage& item : delivered) {
       const InstanceAddress to = item.message.to;
       const PeerMessage message{.from = item.from,
                                 .message = item.message.message};
@@ -129,12 +129,12 @@
     world.now += kStep;
     for (auto& [id, instance] : world.controls) {
       if (!world.down.contains(id) && world.now >= NextDue(instance)) {
-        Apply(world, id, ControlInstanceDue{});
+        Apply(world, id, ControlInstanceTick{});
       }
     }
     for (auto& [id, instance] : world.entries) {
       if (!world.down.contains(id) && world.now >= NextDue(instance)) {
-        Apply(world, id, EntryDue{});
+        Apply(world, id, EntryTick{});
       }
     }
     DeliverAll(world);
@@ -205,7 +205,7 @@
   ServerReported event{.call = call};
   event.record.set_id(id);
   event.record.set_service("proof");
-  event.record.set_ip(static_cast<std::uint32_t>(NumberOf(id)));
+  event.record.set_ip(static_cast<std::uint32_t>(ParseServerNumber(id)));
   event.record.set_port(80);
   event.record.set_slots(2);
   event.record.set_incarnation(1);
--- a/Tests/Flows/FlowsTest.cc
+++ b/Tests/Flows/FlowsTest.cc
@@ -75,21 +75,21 @@
     record.mutable_announcement()->set_sequence(sequence);
     record.mutable_announcement()->set_phase(phase);
     record.mutable_announcement()->set_slots(10);
-    TakeAnnouncement(this->directory, record, this->now);
+    ApplyAnnouncement(this->directory, record, this->now);
   }
 
   FlowEffects Arrive(std::vector<std::uint8_t> bytes) {
     this->bytes = std::move(bytes);
     PacketsArrived event;
     event.datagrams.push_back({.bytes = this->bytes});
-    return Reduce(this->tier, event, this->Context());
+    return Reduce(this->tier, event, this->Environment());
   }
 
-  FlowContext Context() {
-    return FlowContext{.rules = this->rules,
-                       .directory = this->directory,
-                       .silent = this->silent,
-                       .now = this->now};
+  FlowEnvironment Environment() {
+    return FlowEnvironment{.rules = this->rules,
+                           .directory = this->directory,
+                           .silent = this->silent,
+                           .now = this->now};
   }
 
   std::vector<std::uint8_t> bytes;
@@ -203,7 +203,7 @@
   const auto sweep = [&](std::chrono::seconds later) {
     this->now += later;
     for (int i = 0; i < 600; ++i) {
-      Reduce(this->tier, FlowTick{}, this->Context());
+      Reduce(this->tier, FlowTick{}, this->Environment());
     }
     return this->tier.table.size;
   };
@@ -242,7 +242,7 @@
   this->bytes = packet;
   PacketsArrived event;
   event.datagrams.push_back({.bytes = this->bytes, .from = peer});
-  CHECK(Reduce(this->tier, event, this->Context()).forwarded.empty());
+  CHECK(Reduce(this->tier, event, this->Environment()).forwarded.empty());
   wire::FlowMessage message;
   wire::FlowRecord& record = *message.add_records();
   record.set_key(EncodeFlowKey(ReadPacket(packet)->key));
@@ -254,7 +254,7 @@
   this->bytes.insert(this->bytes.end(), body.begin(), body.end());
   PacketsArrived answer;
   answer.datagrams.push_back({.bytes = this->bytes, .from = peer});
-  const FlowEffects effects = Reduce(this->tier, answer, this->Context());
+  const FlowEffects effects = Reduce(this->tier, answer, this->Environment());
   CHECK(effects.datagrams.empty());
   CHECK_EQUAL(0, this->tier.table.size);
 }
@@ -267,7 +267,7 @@
     this->bytes = MakePacket(port, kSyn, 1);
     PacketsArrived event;
     event.datagrams.push_back({.bytes = this->bytes, .from = peer});
-    const FlowEffects effects = Reduce(this->tier, event, this->Context());
+    const FlowEffects effects = Reduce(this->tier, event, this->Environment());
     CHECK(effects.forwarded.at(0).to != peer);
     CHECK_EQUAL(1, effects.datagrams.size());  // The record for the peer.
   }
--- a/Tests/Forwarding/ForwarderTest.cc
+++ b/Tests/Forwarding/ForwarderTest.cc
@@ -205,8 +205,8 @@
         Milliseconds(0), Milliseconds(200), Milliseconds(600),
         Milliseconds(1400)};
     FlowPacket packet = OpeningPacket(port, copies);
-    packet.repeated_for = kSchedule[copies];
-    packet.repeat_after = kSchedule[copies + 1] - kSchedule[copies];
+    packet.since_first_copy = kSchedule[copies];
+    packet.retransmit_after = kSchedule[copies + 1] - kSchedule[copies];
     return HoldOpening(this->held, packet, this->bytes, now);
   }
 
@@ -216,7 +216,7 @@
     StartRelease(this->held, start);
     TimePoint now = start;
     while (this->held.release_at != TimePoint::max()) {
-      for (const HeldOpening& item : ReleaseDue(this->held, now)) {
+      for (const HeldOpening& item : TakeDueOpenings(this->held, now)) {
         sent[item.key.caller.port] = now;
       }
       now += Milliseconds(5);
@@ -228,10 +228,10 @@
 TEST(HeldOpenings, PacketsAreReleasedOnce) {
   CHECK(this->Hold(1, 0));
   StartRelease(this->held, kStart + Milliseconds(100));
-  const auto due = ReleaseDue(this->held, kStart + Milliseconds(100));
+  const auto due = TakeDueOpenings(this->held, kStart + Milliseconds(100));
   LONGS_EQUAL(1, due.size());
   CHECK(due[0].bytes == this->bytes);
-  CHECK(ReleaseDue(this->held, kStart + Milliseconds(200)).empty());
+  CHECK(TakeDueOpenings(this->held, kStart + Milliseconds(200)).empty());
   CHECK_EQUAL(1, this->held.released);
 }
 
@@ -258,7 +258,7 @@
   DecidePacket(forwarder, LaterPacket(1, 7), kStart);
   StartRelease(forwarder.held, kStart);
   DecidePacket(forwarder, LaterPacket(2, 7), kStart);
-  CHECK(ReleaseDue(forwarder.held, kStart).empty());
+  CHECK(TakeDueOpenings(forwarder.held, kStart).empty());
 }
 
 TEST(HeldOpenings, PacketsWithoutAScheduleAreNotStored) {
@@ -344,7 +344,7 @@
     now += Milliseconds(150);
     FlowPacket last = LaterPacket(port, token);
     last.closes = true;
-    last.received = 1000;
+    last.ack_number = 1000;
     DecidePacket(this->forwarder, last, now);
   }
   const Decision refused = open(500);
@@ -399,17 +399,17 @@
         const Decision decision = this->Decide(OpeningPacket(port), now);
 const std::uint32_t token = this->At(decision.server).token;
 FlowPacket first = LaterPacket(port, token);
-first.received = 0xFFFFFF00;  // Sequence numbers wrap.
+first.ack_number = 0xFFFFFF00;  // Sequence numbers wrap.
 this->Decide(first, now + Milliseconds(2));
 FlowPacket last = LaterPacket(port, token);
-last.received = first.received + length;
+last.ack_number = first.ack_number + length;
 last.closes = true;
 this->Decide(last, now + Milliseconds(40));
 return decision.server;
 }
 
 OutcomeDelta Unreported(ServerIndex server) {
-  return this->forwarder.outcomes.untold[server];
+  return this->forwarder.outcomes.unreported[server];
 }
 }
 ;
@@ -418,10 +418,10 @@
   for (std::uint16_t port = 1; port <= 40; ++port) {
     this->RunFlow(port, 400 + 40U * port);
   }
-  this->forwarder.outcomes.untold.clear();
+  this->forwarder.outcomes.unreported.clear();
   const ServerIndex healthy = this->RunFlow(100, 700);
   CHECK_EQUAL(1, this->Unreported(healthy).served);
-  this->forwarder.outcomes.untold.clear();
+  this->forwarder.outcomes.unreported.clear();
   const ServerIndex failing = this->RunFlow(101, 179);
   CHECK_EQUAL(1, this->Unreported(failing).failed);
   CHECK_EQUAL(0, this->Unreported(failing).served);
@@ -431,7 +431,7 @@
   for (std::uint16_t port = 1; port <= 40; ++port) {
     this->RunFlow(port, 1000);
   }
-  this->forwarder.outcomes.untold.clear();
+  this->forwarder.outcomes.unreported.clear();
   // A large step in the acknowledgement number: a second server has answered,
   // with sequence numbers of its own.
   this->RunFlow(100, 0xC0000000);
@@ -442,13 +442,13 @@
   const std::uint32_t token = this->At(decision.server).token;
   this->Decide(LaterPacket(102, token));
   FlowPacket whole = LaterPacket(102, token);
-  whole.received = 1000;
+  whole.ack_number = 1000;
   this->Decide(whole);
   FlowPacket last = LaterPacket(102, token);
-  last.received = 42;
+  last.ack_number = 42;
   last.closes = true;
   this->Decide(last);
-  for (const auto& [server, delta] : this->forwarder.outcomes.untold) {
+  for (const auto& [server, delta] : this->forwarder.outcomes.unreported) {
     CHECK_EQUAL(0, delta.failed);
   }
 }
--- a/Tests/Outcomes/OutcomesTest.cc
+++ b/Tests/Outcomes/OutcomesTest.cc
@@ -14,7 +14,7 @@
 }  // namespace
 
 TEST_GROUP(Outcomes) {
-  OutcomeLedger stats;
+  OutcomeStats stats;
   std::vector<std::string> server_ids;
   std::set<std::string> failing;
   TimePoint now = kStart;
@@ -44,8 +44,8 @@
         const bool failed = draw(this->random) < failure_rate_of(id);
         AddOutcomes(this->stats, id, failed ? 0 : 1, failed ? 1 : 0, this->now);
       }
-      this->failing =
-          FindFailing(this->stats, this->server_ids, this->failing, this->now);
+      this->failing = FindFailingServers(this->stats, this->server_ids,
+                                         this->failing, this->now);
     }
   }
 };
@@ -79,7 +79,8 @@
   this->SimulateFlows(Milliseconds(2000), 15,
                       [](const std::string&) { return 0.0; });
   AddOutcomes(this->stats, "s1", 0, 1, this->now);
-  CHECK(FindFailing(this->stats, this->server_ids, {}, this->now).empty());
+  CHECK(
+      FindFailingServers(this->stats, this->server_ids, {}, this->now).empty());
 }
 
 TEST(Outcomes, IgnoresACauseOutsideTheServers) {
@@ -113,10 +114,12 @@
 TEST(Outcomes, ClearsAFailingServerWithoutFlows) {
   AddOutcomes(this->stats, "s1", 0, 5, this->now);
   AddOutcomes(this->stats, "s2", 5, 0, this->now);
-  CHECK_EQUAL(1,
-              FindFailing(this->stats, this->server_ids, {}, this->now).size());
+  CHECK_EQUAL(
+      1,
+      FindFailingServers(this->stats, this->server_ids, {}, this->now).size());
   const TimePoint later = this->now + std::chrono::seconds(30);
-  CHECK(FindFailing(this->stats, this->server_ids, {"s1"}, later).empty());
-  ForgetOutcomes(this->stats, later);
+  CHECK(
+      FindFailingServers(this->stats, this->server_ids, {"s1"}, later).empty());
+  RemoveExpiredOutcomes(this->stats, later);
   CHECK(this->stats.servers.empty());
 }
--- a/Tests/Placement/PlacementTest.cc
+++ b/Tests/Placement/PlacementTest.cc
@@ -44,16 +44,16 @@
   }
 
   std::string Choose(TimePoint now = kStart) {
-    const auto index = ChooseServer(this->placement, NewFlow{}, now);
+    const auto index = ChooseServer(this->placement, PlacementRequest{}, now);
     return index ? this->placement.servers[*index].id : "";
   }
 };
 
 TEST(Placement, ParsesTheHexadecimalDigitsOfAnId) {
-  CHECK_EQUAL(0x7f3a91c2U, NumberOf("i-7f3a91c2"));
-  CHECK_EQUAL(0x92c3923b0dU, NumberOf("i-92c3923b0d"));
-  CHECK_EQUAL(0xABCU, NumberOf("x-ABC"));
-  CHECK_EQUAL(0U, NumberOf("x-yz"));
+  CHECK_EQUAL(0x7f3a91c2U, ParseServerNumber("i-7f3a91c2"));
+  CHECK_EQUAL(0x92c3923b0dU, ParseServerNumber("i-92c3923b0d"));
+  CHECK_EQUAL(0xABCU, ParseServerNumber("x-ABC"));
+  CHECK_EQUAL(0U, ParseServerNumber("x-yz"));
 }
 
 TEST(Placement, PrefersLocalServersUntilTheyAreBusy) {
@@ -117,12 +117,12 @@
 TEST(Placement, AvoidsAnUnansweringServerForALimitedTime) {
   this->Add(MakeRecord("a1", 1, "here"));
   this->Add(MakeRecord("b2", 2, "here"));
-  NoteOpening(this->Server("a1"), kStart);
+  RecordOpening(this->Server("a1"), kStart);
   const TimePoint after_timeout = kStart + Milliseconds(60);
   for (int i = 0; i < 50; ++i) {
     STRCMP_EQUAL("b2", this->Choose(after_timeout).c_str());
   }
-  NoteUnanswered(this->placement, this->Index("a1"), after_timeout);
+  RecordUnanswered(this->placement, this->Index("a1"), after_timeout);
   this->Server("b2").in_flight = 2;
   STRCMP_EQUAL("b2", this->Choose(after_timeout).c_str());
   STRCMP_EQUAL("a1", this->Choose(after_timeout + Milliseconds(400)).c_str());
@@ -130,15 +130,15 @@
 
 TEST(Placement, ChoosesAnAvoidedServerWithoutAlternative) {
   this->Add(MakeRecord("a1", 1, "here"));
-  NoteOpening(this->Server("a1"), kStart);
-  NoteUnanswered(this->placement, this->Index("a1"), kStart);
+  RecordOpening(this->Server("a1"), kStart);
+  RecordUnanswered(this->placement, this->Index("a1"), kStart);
   STRCMP_EQUAL("a1", this->Choose(kStart + Milliseconds(1)).c_str());
 }
 
 TEST(Placement, ARestartEndsTheAvoidanceOfAServer) {
   this->Add(MakeRecord("a1", 1, "here"));
-  NoteOpening(this->Server("a1"), kStart);
-  NoteUnanswered(this->placement, this->Index("a1"), kStart);
+  RecordOpening(this->Server("a1"), kStart);
+  RecordUnanswered(this->placement, this->Index("a1"), kStart);
   this->Add(MakeRecord("a1", 1, "here", 2));
   CHECK(this->Server("a1").avoid_until == TimePoint());
 }
@@ -149,12 +149,12 @@
   this->Add(MakeRecord("a1", 1, "here"));
   this->Add(MakeRecord("b2", 2, "there"));
   for (int i = 0; i < 200; ++i) {
-    NoteEnded(this->placement, this->placement.by_id.at("b2"), true,
-              Milliseconds(60), kStart);
+    RecordFlowEnd(this->placement, this->placement.by_id.at("b2"), true,
+                  Milliseconds(60), kStart);
   }
   for (int i = 0; i < 10; ++i) {
-    NoteEnded(this->placement, this->placement.by_id.at("a1"), true,
-              Milliseconds(200), kStart);
+    RecordFlowEnd(this->placement, this->placement.by_id.at("a1"), true,
+                  Milliseconds(200), kStart);
   }
   STRCMP_EQUAL("b2", this->Choose().c_str());
   // The server is used again once the measurement is outdated.
@@ -171,14 +171,15 @@
   int lost = 0;
   for (int i = 0; i < 500; ++i) {
     const TimePoint now = kStart + Milliseconds(10 * i);
-    const ServerIndex index = *ChooseServer(this->placement, NewFlow{}, now);
-    NoteOpening(this->placement.servers[index], now);
+    const ServerIndex index =
+        *ChooseServer(this->placement, PlacementRequest{}, now);
+    RecordOpening(this->placement.servers[index], now);
     if (this->placement.servers[index].local) {
-      NoteAnswered(this->placement, index, now);
+      RecordAnswered(this->placement, index, now);
       // The local server is busy, so that the remote ones have lower costs.
       this->placement.servers[index].in_flight = 5;
     } else {
-      NoteUnanswered(this->placement, index, now);
+      RecordUnanswered(this->placement, index, now);
       lost += 1;
     }
   }
@@ -186,8 +187,8 @@
   CHECK(lost <= 3 + 6);
   // The data centre is used again after its first answer.
   const ServerIndex recovered = this->Index("b0");
-  NoteOpening(this->placement.servers[recovered], kStart);
-  NoteAnswered(this->placement, recovered, kStart + std::chrono::seconds(6));
+  RecordOpening(this->placement.servers[recovered], kStart);
+  RecordAnswered(this->placement, recovered, kStart + std::chrono::seconds(6));
   CHECK(this->Choose(kStart + std::chrono::seconds(7)) != "a1");
 }
 
@@ -195,9 +196,9 @@
   this->Add(MakeRecord("a1", 1, "here"));
   this->Add(MakeRecord("b2", 2, "here"));
   // The server answers one of two opening packets and then fails.
-  NoteOpening(this->Server("a1"), kStart);
-  NoteOpening(this->Server("a1"), kStart);
-  NoteAnswered(this->placement, this->Index("a1"), kStart + Milliseconds(5));
+  RecordOpening(this->Server("a1"), kStart);
+  RecordOpening(this->Server("a1"), kStart);
+  RecordAnswered(this->placement, this->Index("a1"), kStart + Milliseconds(5));
   this->Server("b2").in_flight = 6;
   STRCMP_EQUAL("a1", this->Choose(kStart + Milliseconds(30)).c_str());
   STRCMP_EQUAL("b2", this->Choose(kStart + Milliseconds(60)).c_str());
@@ -210,20 +211,21 @@
     record.set_failing(i == 0);
     this->Add(record);
   }
-  int repeatable = 0;
+  int retryable = 0;
   int others = 0;
   constexpr int kFlows = 2400;
   for (int i = 0; i < kFlows; ++i) {
     const ServerIndex failing = this->Index("a0");
-    const auto first =
-        ChooseServer(this->placement, NewFlow{.repeatable = true}, kStart);
-    const auto second = ChooseServer(this->placement, NewFlow{}, kStart);
-    repeatable += first == failing ? 1 : 0;
+    const auto first = ChooseServer(
+        this->placement, PlacementRequest{.retryable = true}, kStart);
+    const auto second =
+        ChooseServer(this->placement, PlacementRequest{}, kStart);
+    retryable += first == failing ? 1 : 0;
     others += second == failing ? 1 : 0;
   }
   LONGS_EQUAL(0, others);
-  CHECK(repeatable > 20);
-  CHECK(repeatable < kFlows / 4 / 6);
+  CHECK(retryable > 20);
+  CHECK(retryable < kFlows / 4 / 6);
 }
 
 TEST(Placement, ChoosesAFailingServerWithoutAlternative) {
--- a/Tests/Platform/CallAdapterTest.cc
+++ b/Tests/Platform/CallAdapterTest.cc
@@ -66,7 +66,7 @@
           "POST", "/api/Instances.Heartbeat/i-7f", heartbeat.dump());
       const bool is_valid_report =
           std::holds_alternative<ReportCall>(call) &&
-          CheckRecord(std::get<ReportCall>(call).record).empty();
+          CheckServerRecord(std::get<ReportCall>(call).record).empty();
       const bool required =
           key == "Address" || key == "State" || key == "ConcurrencyLimit";
       CHECK_FALSE(required && is_valid_report);
@@ -85,9 +85,10 @@
 }
 
 TEST(CallAdapter, HeartbeatAnswerHasTheNextEndpoint) {
-  const wire::Answer answer = this->BuildAnswer(
-      "/", ReportCall{},
-      AnswerCall{.verdict = CallVerdict::kAccepted, .report_next = 0x0A000001});
+  const wire::Answer answer =
+      this->BuildAnswer("/", ReportCall{},
+                        AnswerCall{.verdict = CallVerdict::kAccepted,
+                                   .next_report_address = 0x0A000001});
   LONGS_EQUAL(200, answer.status());
   STRCMP_EQUAL("10.0.0.1:8166", Json::parse(answer.body())["HeartbeatEndpoint"]
                                     .get<std::string>()
@@ -105,7 +106,8 @@
 
 TEST(CallAdapter, StatusDistinguishesUnavailableFromInvalid) {
   LONGS_EQUAL(503, this->BuildAnswer("/", SubmitCall{}, AnswerCall{}).status());
-  LONGS_EQUAL(503, this->BuildAnswer("/", ReadCall{}, AnswerCall{}).status());
+  LONGS_EQUAL(503,
+              this->BuildAnswer("/", ReadRulesCall{}, AnswerCall{}).status());
   LONGS_EQUAL(503, this->BuildAnswer("/", ReportCall{}, AnswerCall{}).status());
   const FleetCall invalid = this->ParseCall("POST", "/api/Config.Replace", "{");
   LONGS_EQUAL(400, this->BuildAnswer("/", invalid, AnswerCall{}).status());
--- a/Tests/Platform/ConfigDocumentTest.cc
+++ b/Tests/Platform/ConfigDocumentTest.cc
@@ -68,7 +68,7 @@
   CHECK_EQUAL(7, parsed.rules.version);
   LONGS_EQUAL(2, parsed.rules.addresses.size());
   STRCMP_EQUAL("platform operator",
-               parsed.rules.addresses.begin()->second.origin.asker.c_str());
+               parsed.rules.addresses.begin()->second.origin.requester.c_str());
 }
 
 TEST(ConfigDocument, TruncatedDocumentIsRejected) {
--- a/Tests/Platform/PacketAdapterTest.cc
+++ b/Tests/Platform/PacketAdapterTest.cc
@@ -40,7 +40,7 @@
     bytes[4] = copies;
     FlowPacket packet;
     CHECK(this->codec.parse(bytes, packet));
-    LONGS_EQUAL(expected[copies], packet.repeat_after.count());
+    LONGS_EQUAL(expected[copies], packet.retransmit_after.count());
   }
 }
 
@@ -57,7 +57,7 @@
 
 TEST(PacketAdapter, WritingTheTokenKeepsTheOtherFields) {
   std::vector<std::uint8_t> bytes = MakeSyn();
-  this->codec.stamp(bytes, 0x7f3a91c2);
+  this->codec.write_token(bytes, 0x7f3a91c2);
   FlowPacket packet;
   CHECK(this->codec.parse(bytes, packet));
   CHECK_EQUAL(0x7f3a91c2, packet.token);
@@ -67,7 +67,7 @@
 
 TEST(PacketAdapter, ServerNumberIsBigEndian) {
   std::array<std::uint8_t, 16> out{};
-  LONGS_EQUAL(8, this->codec.write_head(0x92c3923b0d, out));
+  LONGS_EQUAL(8, this->codec.write_header(0x92c3923b0d, out));
   const std::array<std::uint8_t, 8> expected = {0,    0,    0,    0x92,
                                                 0xc3, 0x92, 0x3b, 0x0d};
   CHECK(std::equal(expected.begin(), expected.end(), out.begin()));
--- a/Tests/Registry/RegistryTest.cc
+++ b/Tests/Registry/RegistryTest.cc
@@ -35,45 +35,47 @@
 TEST_GROUP(Registry) { Registry registry; };
 
 TEST(Registry, IgnoresOutdatedReports) {
-  CHECK(MergeRecord(this->registry, MakeRecord(5, 9, wire::SERVER_DRAINING),
-                    kStart));
-  CHECK_FALSE(MergeRecord(this->registry, MakeRecord(5, 8), kStart));
-  CHECK_FALSE(MergeRecord(this->registry, MakeRecord(4, 99), kStart));
+  CHECK(MergeServerRecord(this->registry,
+                          MakeRecord(5, 9, wire::SERVER_DRAINING), kStart));
+  CHECK_FALSE(MergeServerRecord(this->registry, MakeRecord(5, 8), kStart));
+  CHECK_FALSE(MergeServerRecord(this->registry, MakeRecord(4, 99), kStart));
   CHECK_EQUAL(wire::SERVER_DRAINING, CurrentRecord(this->registry).phase());
 }
 
 TEST(Registry, ALaterIncarnationStartsANewSequence) {
-  MergeRecord(this->registry, MakeRecord(5, 900, wire::SERVER_GONE), kStart);
-  CHECK(MergeRecord(this->registry, MakeRecord(6, 1), kStart));
+  MergeServerRecord(this->registry, MakeRecord(5, 900, wire::SERVER_GONE),
+                    kStart);
+  CHECK(MergeServerRecord(this->registry, MakeRecord(6, 1), kStart));
   CHECK_EQUAL(wire::SERVER_READY, CurrentRecord(this->registry).phase());
 }
 
 TEST(Registry, AnIncarnationThatIsGoneIsNotRevived) {
-  MergeRecord(this->registry, MakeRecord(5, 3, wire::SERVER_GONE), kStart);
-  CHECK_FALSE(MergeRecord(this->registry, MakeRecord(5, 4), kStart));
+  MergeServerRecord(this->registry, MakeRecord(5, 3, wire::SERVER_GONE),
+                    kStart);
+  CHECK_FALSE(MergeServerRecord(this->registry, MakeRecord(5, 4), kStart));
   CHECK_EQUAL(wire::SERVER_GONE, CurrentRecord(this->registry).phase());
 }
 
 TEST(Registry, UnchangedReportsAreNotForwarded) {
-  MergeRecord(this->registry, MakeRecord(5, 1), kStart);
+  MergeServerRecord(this->registry, MakeRecord(5, 1), kStart);
   const std::uint64_t change = this->registry.change;
-  CHECK_FALSE(MergeRecord(this->registry, MakeRecord(5, 2), kStart));
+  CHECK_FALSE(MergeServerRecord(this->registry, MakeRecord(5, 2), kStart));
   CHECK_EQUAL(change, this->registry.change);
   CHECK(RecordsAfter(this->registry, change, kMaxRecords, kStart)
             .records.empty());
   // The sequence number of the unchanged report is kept.
-  CHECK_FALSE(MergeRecord(this->registry,
-                          MakeRecord(5, 1, wire::SERVER_DRAINING), kStart));
+  CHECK_FALSE(MergeServerRecord(
+      this->registry, MakeRecord(5, 1, wire::SERVER_DRAINING), kStart));
 }
 
 TEST(Registry, MarksAndClearsSilence) {
   constexpr Milliseconds kLimit{6000};
-  MergeRecord(this->registry, MakeRecord(5, 1), kStart);
+  MergeServerRecord(this->registry, MakeRecord(5, 1), kStart);
   LONGS_EQUAL(0, MarkSilent(this->registry, kLimit, kStart + kLimit));
   const TimePoint later = kStart + kLimit + Milliseconds(1);
   LONGS_EQUAL(1, MarkSilent(this->registry, kLimit, later));
   CHECK(CurrentRecord(this->registry).silent());
-  NoteHeard(this->registry, "i-1", later);
+  UpdateLastHeard(this->registry, "i-1", later);
   CHECK_FALSE(CurrentRecord(this->registry).silent());
   LONGS_EQUAL(0, MarkSilent(this->registry, kLimit, later));
 }
@@ -81,7 +83,7 @@
 TEST(Registry, ReturnsTheRemainingWarmupTime) {
   wire::ServerRecord record = MakeRecord(5, 1);
   record.set_warmup_ms(2000);
-  MergeRecord(this->registry, record, kStart);
+  MergeServerRecord(this->registry, record, kStart);
   const auto early =
       RecordsAfter(this->registry, 0, kMaxRecords, kStart + Milliseconds(500))
           .records;
@@ -96,11 +98,11 @@
   for (int i = 0; i < 5; ++i) {
     wire::ServerRecord record = MakeRecord(1, 1);
     record.set_id("i-" + std::to_string(i));
-    MergeRecord(this->registry, record, kStart);
+    MergeServerRecord(this->registry, record, kStart);
   }
   wire::ServerRecord restarted = MakeRecord(2, 1);
   restarted.set_id("i-0");
-  MergeRecord(this->registry, restarted, kStart);
+  MergeServerRecord(this->registry, restarted, kStart);
   const RecordBatch first = RecordsAfter(this->registry, 0, 3, kStart);
   CHECK_FALSE(first.complete);
   LONGS_EQUAL(3, first.records.size());
@@ -115,25 +117,27 @@
 
 TEST(Registry, DoesNotReturnRemovedServers) {
   constexpr Milliseconds kLimit{1000};
-  MergeRecord(this->registry, MakeRecord(5, 3, wire::SERVER_GONE), kStart);
-  ForgetGone(this->registry, kLimit, kStart + kLimit + Milliseconds(1));
+  MergeServerRecord(this->registry, MakeRecord(5, 3, wire::SERVER_GONE),
+                    kStart);
+  RemoveExpiredServers(this->registry, kLimit,
+                       kStart + kLimit + Milliseconds(1));
   CHECK(RecordsAfter(this->registry, 0, kMaxRecords, kStart).records.empty());
 }
 
 TEST(Registry, ReportsInvalidRecords) {
-  CHECK(CheckRecord(MakeRecord(1, 1)).empty());
+  CHECK(CheckServerRecord(MakeRecord(1, 1)).empty());
   wire::ServerRecord record = MakeRecord(1, 1);
   record.set_slots(0);
-  CHECK_FALSE(CheckRecord(record).empty());
+  CHECK_FALSE(CheckServerRecord(record).empty());
   record = MakeRecord(1, 1);
   record.set_port(70000);
-  CHECK_FALSE(CheckRecord(record).empty());
+  CHECK_FALSE(CheckServerRecord(record).empty());
   record = MakeRecord(1, 1);
   record.clear_service();
-  CHECK_FALSE(CheckRecord(record).empty());
+  CHECK_FALSE(CheckServerRecord(record).empty());
   record = MakeRecord(1, 1);
   record.clear_id();
-  CHECK_FALSE(CheckRecord(record).empty());
+  CHECK_FALSE(CheckServerRecord(record).empty());
 }
 
 TEST(Registry, MergesReportsInAnyOrderToTheSameResult) {
@@ -149,7 +153,7 @@
     std::shuffle(records.begin(), records.end(), random);
     Registry shuffled;
     for (const wire::ServerRecord& record : records) {
-      MergeRecord(shuffled, record, kStart);
+      MergeServerRecord(shuffled, record, kStart);
     }
     CHECK_EQUAL(3, CurrentRecord(shuffled).incarnation());
     CHECK_EQUAL(wire::SERVER_GONE, CurrentRecord(shuffled).phase());
--- a/Tests/Requests/RequestsTest.cc
+++ b/Tests/Requests/RequestsTest.cc
@@ -93,7 +93,7 @@
     record.mutable_announcement()->set_phase(wire::READY);
     record.mutable_announcement()->set_slots(2);
     record.mutable_announcement()->set_in_flight(in_flight);
-    TakeAnnouncement(this->directory, record, this->now);
+    ApplyAnnouncement(this->directory, record, this->now);
   }
 
   void Run(const RequestEvent& event) {
@@ -101,11 +101,12 @@
     while (!events.empty()) {
       const RequestEvent next = events.front();
       events.erase(events.begin());
-      const RequestContext context{.rules = this->rules,
-                                   .directory = this->directory,
-                                   .silent = this->silent,
-                                   .now = this->now};
-      for (const RequestEffect& effect : Reduce(this->tier, next, context)) {
+      const RequestEnvironment environment{.rules = this->rules,
+                                           .directory = this->directory,
+                                           .silent = this->silent,
+                                           .now = this->now};
+      for (const RequestEffect& effect :
+           Reduce(this->tier, next, environment)) {
         this->HandleEffect(effect, events);
       }
     }
@@ -121,9 +122,10 @@
       this->answers[answer->id] = answer->answer;
     } else if (const auto* claim = std::get_if<SendClaim>(&effect)) {
       events.emplace_back(ClaimAnswered{
-          .from = 1, .reply = TakeClaim(this->log, claim->claim, this->now)});
+          .from = 1,
+          .reply = ProcessClaim(this->log, claim->claim, this->now)});
     } else if (const auto* outcome = std::get_if<SendOutcome>(&effect)) {
-      TakeOutcome(this->log, outcome->outcome.record(), this->now);
+      RecordOutcome(this->log, outcome->outcome.record(), this->now);
     }
   }
 
@@ -305,14 +307,14 @@
 /// A recorder that lost its records in a restart must not confirm a key as new
 /// before it has pulled the records of the key's other recorders, since the
 /// order would run twice.
-TEST(Requests, RecorderVouchesOnlyForWhatItHasPulled) {
+TEST(Requests, RecorderConfirmsOnlyKeysItHasPulled) {
   OrderLog fresh{.self = 1, .pool = {1, 2, 3}, .unsure_with = {2, 3}};
   wire::Claim claim;
   claim.mutable_record()->set_key("k");
   claim.mutable_record()->set_attempt(5);
-  CHECK(TakeClaim(fresh, claim, this->now).amnesiac());
+  CHECK(ProcessClaim(fresh, claim, this->now).amnesiac());
   MergeRecords(fresh, 2, {}, this->now);
-  CHECK(TakeClaim(fresh, claim, this->now).granted());
+  CHECK(ProcessClaim(fresh, claim, this->now).granted());
   CHECK_FALSE(HasCompleteRecords(fresh, "k"));
   wire::RecordsPage lost_at_both_recorders;
   lost_at_both_recorders.add_unsure_with(1);
@@ -331,13 +333,13 @@
   for (std::uint64_t i = 1; i <= 10; ++i) {
     record.set_key(std::to_string(i));
     record.set_attempt(i);
-    TakeOutcome(small, record, this->now);
-    TakeOutcome(small, record, this->now);
+    RecordOutcome(small, record, this->now);
+    RecordOutcome(small, record, this->now);
   }
   CHECK_EQUAL(900, small.answer_bytes);
   CHECK_EQUAL(10, small.records.size());
   CHECK_EQUAL(wire::INTENT, small.records.at("10").record.phase());
-  ExpireOrders(small, this->now + std::chrono::hours(1));
+  RemoveExpiredOrders(small, this->now + std::chrono::hours(1));
   CHECK_EQUAL(0, small.answer_bytes);
 }
 
@@ -346,9 +348,9 @@
   wire::Claim claim;
   for (int i = 0; i < 20; ++i) {
     claim.mutable_record()->set_key(std::to_string(i));
-    const wire::ClaimReply reply = TakeClaim(small, claim, this->now);
+    const wire::ClaimReply reply = ProcessClaim(small, claim, this->now);
     CHECK_EQUAL(i < 10, reply.granted());
   }
-  ExpireOrders(small, this->now + std::chrono::hours(1));
+  RemoveExpiredOrders(small, this->now + std::chrono::hours(1));
   CHECK(small.records.empty());
 }
--- a/Tests/Shell/MetricsTextTest.cc
+++ b/Tests/Shell/MetricsTextTest.cc
@@ -27,9 +27,9 @@
 
 std::set<std::string> ServedNames() {
   std::vector<MetricSample> samples =
-      CollectMetrics(EntryInstance{}, ProcessFigures{}, TimePoint());
+      CollectMetrics(EntryInstance{}, ProcessStatistics{}, TimePoint());
   const std::vector<MetricSample> control =
-      CollectMetrics(ControlInstance{}, ProcessFigures{}, TimePoint());
+      CollectMetrics(ControlInstance{}, ProcessStatistics{}, TimePoint());
   samples.insert(samples.end(), control.begin(), control.end());
   std::set<std::string> names;
   for (const MetricSample& sample : samples) {
--- a/Tests/Transport/FragmentsTest.cc
+++ b/Tests/Transport/FragmentsTest.cc
@@ -26,7 +26,7 @@
     Reassembler& reassembler, const std::vector<std::string>& datagrams) {
   std::optional<std::string> reassembled;
   for (const std::string& datagram : datagrams) {
-    auto completed = reassembler.Take(kSender, datagram, kStart);
+    auto completed = reassembler.AddDatagram(kSender, datagram, kStart);
     if (completed) {
       reassembled = std::move(completed);
     }
@@ -64,7 +64,8 @@
   const std::string message = RandomBytes(9000, 3);
   auto datagrams = SplitMessage(message, 5);
   std::reverse(datagrams.begin(), datagrams.end());
-  CHECK_FALSE(reassembler.Take(kSender, datagrams[0], kStart).has_value());
+  CHECK_FALSE(
+      reassembler.AddDatagram(kSender, datagrams[0], kStart).has_value());
   const auto reassembled = AddDatagrams(reassembler, datagrams);
   CHECK(reassembled.has_value());
   CHECK(*reassembled == message);
@@ -74,8 +75,8 @@
   Reassembler reassembler;
   const auto left = SplitMessage(RandomBytes(2000, 1), 9);
   const auto right = SplitMessage(RandomBytes(2000, 2), 9);
-  CHECK_FALSE(reassembler.Take(1, left[0], kStart).has_value());
-  CHECK_FALSE(reassembler.Take(2, right[1], kStart).has_value());
+  CHECK_FALSE(reassembler.AddDatagram(1, left[0], kStart).has_value());
+  CHECK_FALSE(reassembler.AddDatagram(2, right[1], kStart).has_value());
 }
 
 TEST(Fragments, CountsAndRejectsMalformedDatagrams) {
@@ -86,9 +87,9 @@
     std::string datagram = SplitMessage(RandomBytes(1500, 4), 8)[0];
     datagram[random() % 9] = static_cast<char>(random());
     datagram.resize(random() % datagram.size());
-    accepted += reassembler.Take(kSender, datagram, kStart) ? 1 : 0;
+    accepted += reassembler.AddDatagram(kSender, datagram, kStart) ? 1 : 0;
   }
-  CHECK(reassembler.Malformed() > 0);
+  CHECK(reassembler.MalformedCount() > 0);
   // A truncated datagram of an uncompressed message in one fragment is accepted
   // as a shorter message, because the header has no length field.
   CHECK(accepted < 20000);
@@ -97,9 +98,11 @@
 TEST(Fragments, DropsExpiredPartialMessages) {
   Reassembler reassembler;
   const auto datagrams = SplitMessage(RandomBytes(2000, 1), 1);
-  CHECK_FALSE(reassembler.Take(kSender, datagrams[0], kStart).has_value());
+  CHECK_FALSE(
+      reassembler.AddDatagram(kSender, datagrams[0], kStart).has_value());
   const auto others = SplitMessage(RandomBytes(2000, 2), 2);
   const TimePoint later = kStart + std::chrono::seconds(10);
-  CHECK_FALSE(reassembler.Take(kSender, others[0], later).has_value());
-  CHECK_FALSE(reassembler.Take(kSender, datagrams[1], later).has_value());
+  CHECK_FALSE(reassembler.AddDatagram(kSender, others[0], later).has_value());
+  CHECK_FALSE(
+      reassembler.AddDatagram(kSender, datagrams[1], later).has_value());
 }
