--- a/Source/Control/Replica.cc
+++ b/Source/Control/Replica.cc
@@ -4,7 +4,7 @@
 
 #include "Base/Hash.h"
 #include "Control/Ballot.h"
-#include "Control/ReplicaTurn.h"
+#include "Control/ReplicaContext.h"
 
 namespace filbertwall {
 namespace {
--- a/Source/Control/ReplicaTurn.cc
+++ b/Source/Control/ReplicaContext.cc
@@ -1,6 +1,5 @@
-#include "Control/ReplicaTurn.h"
-
 #include "Base/Hash.h"
+#include "Control/ReplicaContext.h"
 
 namespace filbertwall {
 
--- a/Source/Control/ReplicaElection.cc
+++ b/Source/Control/ReplicaElection.cc
@@ -1,7 +1,7 @@
 #include <algorithm>
 
 #include "Control/Ballot.h"
-#include "Control/ReplicaTurn.h"
+#include "Control/ReplicaContext.h"
 
 /// Leader election: the prepare and promise messages and the start of
 /// leadership.
--- a/Source/Control/ReplicaMembers.cc
+++ b/Source/Control/ReplicaMembers.cc
@@ -1,6 +1,6 @@
 #include <algorithm>
 
-#include "Control/ReplicaTurn.h"
+#include "Control/ReplicaContext.h"
 #include "Control/VoterChange.h"
 
 /// Membership: the voters and the standbys.
--- a/Source/Control/ReplicaProposal.cc
+++ b/Source/Control/ReplicaProposal.cc
@@ -1,7 +1,7 @@
 #include <algorithm>
 
 #include "Control/Ballot.h"
-#include "Control/ReplicaTurn.h"
+#include "Control/ReplicaContext.h"
 
 /// Proposals: a submitted change is stored by a majority of the voters and then
 /// committed.
--- a/Source/Flows/FlowTurn.h
+++ b/Source/Flows/FlowContext.h
@@ -7,7 +7,7 @@
 /// Internal to Flows: functions shared by the event handlers.
 namespace filbertwall {
 
-/// The state, the context and the effects of handling one event.
+/// The state, the environment and the effects of handling one event.
 struct FlowContext {
   FlowTier& tier;
   FlowEnvironment& environment;
--- a/Source/Flows/FlowOwner.cc
+++ b/Source/Flows/FlowOwner.cc
@@ -1,7 +1,7 @@
 #include <algorithm>
 
 #include "Base/Hash.h"
-#include "Flows/FlowTurn.h"
+#include "Flows/FlowContext.h"
 
 /// The owner's tasks: opening flows, querying other instances, and replication.
 namespace filbertwall {
--- a/Source/Flows/FlowTier.cc
+++ b/Source/Flows/FlowTier.cc
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "Flows/FlowTurn.h"
+#include "Flows/FlowContext.h"
 
 namespace filbertwall {
 namespace {
--- a/Source/Node/Node.cc
+++ b/Source/Node/Node.cc
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "Node/NodeTurn.h"
+#include "Node/NodeContext.h"
 
 namespace filbertwall {
 namespace {
--- a/Source/Node/NodeBackends.cc
+++ b/Source/Node/NodeBackends.cc
@@ -1,6 +1,6 @@
 #include <google/protobuf/util/json_util.h>
 
-#include "Node/NodeTurn.h"
+#include "Node/NodeContext.h"
 
 /// Handles announcements of backend servers and forwards them to the other
 /// entry instances.
--- a/Source/Node/NodeOperator.cc
+++ b/Source/Node/NodeOperator.cc
@@ -1,5 +1,5 @@
 #include "Base/Hash.h"
-#include "Node/NodeTurn.h"
+#include "Node/NodeContext.h"
 #include "Rules/RulesParser.h"
 
 /// Handles requests of operators: rules submissions, removal of a voter, status
--- a/Source/Node/NodeOrders.cc
+++ b/Source/Node/NodeOrders.cc
@@ -1,4 +1,4 @@
-#include "Node/NodeTurn.h"
+#include "Node/NodeContext.h"
 
 /// Stores order records (see Requests/OrderLog.h), and pulls those of other
 /// recorders after a restart.
--- a/Source/Node/NodePeers.cc
+++ b/Source/Node/NodePeers.cc
@@ -1,5 +1,5 @@
 #include "Base/Hash.h"
-#include "Node/NodeTurn.h"
+#include "Node/NodeContext.h"
 
 /// Detects failed peers by periodic hellos. A hello carries the sender's rules
 /// version and directory digest; where these differ, rules or directory are
--- a/Source/Node/NodeRules.cc
+++ b/Source/Node/NodeRules.cc
@@ -1,4 +1,4 @@
-#include "Node/NodeTurn.h"
+#include "Node/NodeContext.h"
 #include "Rules/RulesParser.h"
 
 /// Rules in force at this instance. Their version only increases.
--- a/Source/Requests/OrderClaim.cc
+++ b/Source/Requests/OrderClaim.cc
@@ -2,7 +2,7 @@
 
 #include "Base/Hash.h"
 #include "Requests/OrderLog.h"
-#include "Requests/RequestTurn.h"
+#include "Requests/RequestContext.h"
 
 /// Claims give one instance the exclusive right to dispatch an order.
 namespace filbertwall {
--- a/Source/Requests/RequestDispatch.cc
+++ b/Source/Requests/RequestDispatch.cc
@@ -2,7 +2,7 @@
 
 #include "Base/Hash.h"
 #include "Requests/Balancer.h"
-#include "Requests/RequestTurn.h"
+#include "Requests/RequestContext.h"
 
 /// Dispatch: sends a request to a backend server, queues it or rejects it.
 namespace filbertwall {
--- a/Source/Requests/RequestTier.cc
+++ b/Source/Requests/RequestTier.cc
@@ -4,7 +4,7 @@
 
 #include "Base/Text.h"
 #include "Requests/Balancer.h"
-#include "Requests/RequestTurn.h"
+#include "Requests/RequestContext.h"
 
 namespace filbertwall {
 namespace {
