--- a/Source/Control/ReplicaContext.cc
+++ b/Source/Control/ReplicaContext.cc
@@ -1,6 +1,7 @@
-#include "Base/Hash.h"
 #include "Control/ReplicaContext.h"
 
+#include "Base/Hash.h"
+
 namespace filbertwall {
 
 void Send(ReplicaContext& context, std::uint32_t to,
