--- a/Bench/CapacityBench.cc
+++ b/Bench/CapacityBench.cc
@@ -11,7 +11,7 @@
 #include "Node/Node.h"
 #include "Rules/RulesParser.h"
 
-/// Measures how state, messages and processor time grow with the deployment.
+/// Measures how state, messages and CPU time grow with the deployment.
 /// Prints `figure,size,value,unit` for docs/CAPACITY.md.
 namespace filbertwall::bench {
 namespace {
@@ -26,7 +26,7 @@
 
 double HeapBytes() { return static_cast<double>(mallinfo2().uordblks); }
 
-/// Median of nine timings of `work`, in microseconds a call.
+/// Returns the median of nine timings of `work`, in microseconds per call.
 double TimeUs(int calls, const std::function<void()>& work) {
   std::vector<double> timings;
   for (int round = 0; round < 9; ++round) {
@@ -43,18 +43,18 @@
 }
 
 Node MakeNodeWithPeers(std::uint32_t peers) {
-  NodeParts parts{.incarnation = 77};
-  parts.settings.id = 1;
-  parts.settings.data_centre = "dc";
-  parts.settings.roles.entry = true;
+  NodeInitialState initial_state{.incarnation = 77};
+  initial_state.settings.id = 1;
+  initial_state.settings.data_centre = "dc";
+  initial_state.settings.roles.entry = true;
   for (std::uint32_t id = 2; id < peers + 2; ++id) {
-    parts.settings.peers[id] =
+    initial_state.settings.peers[id] =
         PeerSettings{.id = id,
                      .packet_address = {.ip = id, .port = 6081},
                      .data_centre = "dc",
                      .roles = {.entry = true}};
   }
-  return MakeNode(parts);
+  return MakeNode(initial_state);
 }
 
 MessageArrived HelloFrom(std::uint32_t id) {
@@ -125,10 +125,10 @@
                    sequence += 1;
                  }),
           "us");
-    Print(
-        "directory_message", backends,
-        static_cast<double>(DirectoryMessage(directory, kStart).ByteSizeLong()),
-        "bytes");
+    Print("directory_message", backends,
+          static_cast<double>(
+              BuildDirectoryMessage(directory, kStart).ByteSizeLong()),
+          "bytes");
   }
 }
 
@@ -180,7 +180,7 @@
                [&] {
                  wire::RulesFile old_file;
                  old_file.set_version(static_cast<std::uint64_t>(versions / 2));
-                 RuleOn(state, old_file);
+                 DecideRulesFile(state, old_file);
                }),
         "us");
   }
@@ -195,7 +195,7 @@
     for (int i = 0; i < records; ++i) {
       claim.mutable_record()->set_key("catalogue\norder-" + std::to_string(i));
       claim.mutable_record()->set_attempt(static_cast<std::uint64_t>(i) + 1);
-      TakeClaim(log, claim, kStart);
+      ProcessClaim(log, claim, kStart);
     }
     const auto size = static_cast<std::size_t>(records);
     Print("order_memory", size, HeapBytes() - before, "bytes");
@@ -204,7 +204,7 @@
           TimeUs(1000,
                  [&] {
                    claim.mutable_record()->set_attempt(attempt++);
-                   TakeClaim(log, claim, kStart);
+                   ProcessClaim(log, claim, kStart);
                  }),
           "us");
   }
--- a/Source/Backends/Directory.h
+++ b/Source/Backends/Directory.h
@@ -11,9 +11,10 @@
 #include "Rules/Rules.h"
 #include "Wire/wire.pb.h"
 
-/// The backend servers that an instance knows, held by lease.
+/// Directory of the backend servers known to an instance. Each announcement
+/// gives a server a lease, which its next announcement renews.
 ///
-/// Plain state and pure functions; not thread safe.
+/// The functions keep no state outside their arguments. Not thread safe.
 namespace filbertwall {
 
 struct Backend {
@@ -22,52 +23,67 @@
   std::string data_centre;
   TimePoint announced_at;  ///< By this instance's clock.
   TimePoint ready_since;
-  std::uint32_t own_in_flight = 0;
-  std::uint32_t own_when_announced = 0;
+  std::uint32_t own_in_flight = 0;  ///< Requests of this instance.
+  /// Value of `own_in_flight` when the last announcement was applied.
+  std::uint32_t own_in_flight_when_announced = 0;
   std::uint32_t consecutive_failures = 0;
-  std::uint32_t refusals_in_row = 0;
-  TimePoint full_until;  ///< It refused work for want of slots.
+  std::uint32_t consecutive_refusals = 0;
+  TimePoint full_until;  ///< Treated as full after refusing a request.
   TimePoint last_success;
   TimePoint last_failure;
 };
 
 struct Directory {
-  std::string data_centre;
+  std::string data_centre;  ///< Of this instance.
   Milliseconds lease{10000};
   std::map<Endpoint, Backend> backends;
-  std::uint64_t digest = 0;      ///< Of all records; kept up to date.
-  std::uint64_t generation = 0;  ///< Rises when usable ones may change.
+  /// XOR of `ComputeDigest` of all backends. Instances compare it to find out
+  /// whether their directories differ.
+  std::uint64_t digest = 0;
+  /// Incremented when a server is added or removed, or changes its service,
+  /// phase or slots; also by the owner when new rules may change the
+  /// candidates.
+  std::uint64_t generation = 0;
 };
 
-/// What an announcement lacks; empty when it may be used.
+/// Validates an announcement. Returns an error message, or an empty string if
+/// it is valid.
 std::string CheckAnnouncement(const wire::Announcement& announcement);
 
-/// Takes an announcement made `age` ago. False when a later one is known, so
-/// that late, doubled and reordered copies change nothing.
-/// Precondition: `CheckAnnouncement` is empty.
-bool TakeAnnouncement(Directory& directory, const wire::BackendRecord& record,
-                      TimePoint now);
+/// Applies an announcement that the server sent `record.age_ms()` before `now`.
+/// Late, duplicate and reordered copies are ignored: returns false and changes
+/// nothing if an announcement of the server with the same or a later sequence
+/// number is known.
+/// Precondition: `CheckAnnouncement` returns an empty string.
+bool ApplyAnnouncement(Directory& directory, const wire::BackendRecord& record,
+                       TimePoint now);
 
-/// Forgets backend servers that were silent for several leases.
-void ForgetSilent(Directory& directory, TimePoint now);
+/// Removes backend servers without an announcement for six leases. Keeps those
+/// with requests of this instance in flight.
+void RemoveExpiredBackends(Directory& directory, TimePoint now);
 
-/// Part of the directory's digest, which is equal at instances that hold the
-/// same services, phases and slots.
-std::uint64_t DigestOf(const Backend& backend);
+/// Returns a hash of the server's address, service, phase and slots. Instances
+/// that know the same servers with the same values thus have the same
+/// `Directory::digest`.
+std::uint64_t ComputeDigest(const Backend& backend);
 
-/// All records with their present age, for repair.
-wire::Directory DirectoryMessage(const Directory& directory, TimePoint now);
+/// Returns the records of all servers with their age at `now`. They are sent to
+/// an instance whose directory differs.
+wire::Directory BuildDirectoryMessage(const Directory& directory,
+                                      TimePoint now);
 
-/// Whether new work of the service may go there. A lapsed lease is outweighed
-/// by this instance's own recent success.
+/// Returns whether the server announces the service as READY and has a valid
+/// lease. A server whose lease has lapsed also counts as usable if this
+/// instance's last attempt there succeeded, no longer ago than one lease.
 bool IsUsable(const Directory& directory, const Backend& backend,
               const std::string& service, TimePoint now);
 
-/// The usable ones; when there are none, those that are neither draining nor
-/// known to be of another service, since trying beats refusing.
-std::vector<const Backend*> CandidatesFor(const Directory& directory,
-                                          const Rules& rules,
-                                          const std::string& service,
-                                          TimePoint now);
+/// Returns the usable servers of the service with a weight above 0. If there
+/// are none, returns the READY servers with a lapsed lease and a weight above
+/// 0, since an attempt there may still succeed.
+std::vector<const Backend*> FindCandidates(const Directory& directory,
+                                           const Rules& rules,
+                                           const std::string& service,
+                                           TimePoint now);
 
 }  // namespace filbertwall
--- a/Source/Base/Event.h
+++ b/Source/Base/Event.h
@@ -2,7 +2,7 @@
 
 #include <string>
 
-/// Numbered log events. Each has its line in docs/EVENTS.md.
+/// Log records and their numbered events, which docs/EVENTS.md lists.
 namespace filbertwall {
 
 enum class EventId {
@@ -15,25 +15,25 @@
   kLeaderElected = 2001,
   kLeadershipLost = 2002,
   kVotersChanged = 2003,
-  kLogTailCut = 2004,
+  kLogTailTruncated = 2004,
   kLogCorrupt = 2005,
   kSyncFailed = 2006,
   kDiskRestored = 2007,
   kRulesUnreadable = 2012,
   kRulesInForce = 2010,
-  kSubmission = 2011,
+  kSubmissionResult = 2011,
   kPeerAlive = 3001,
   kPeerSilent = 3002,
   kPeerRestarted = 3003,
-  kControlLost = 3004,
-  kControlFound = 3005,
+  kControlInstanceLost = 3004,
+  kControlInstanceSelected = 3005,
   kBackendChanged = 3010,
   kAnnouncementRejected = 3011,
   kServerChanged = 3012,
   kReportUnconfirmed = 3013,
   kRegistryNotSaved = 3014,
-  kServerJudged = 3015,
-  kOrderMemoryRepaired = 4001,
+  kServerFailingChanged = 3015,
+  kOrderRecordsRestored = 4001,
   kMalformedInput = 5001,
   kFlowPlaced = 6001,
   kFlowRefused = 6002,
--- a/Source/Control/Ballot.h
+++ b/Source/Control/Ballot.h
@@ -2,10 +2,13 @@
 
 #include "Wire/wire.pb.h"
 
-/// Order of leadership attempts.
+/// Total order of ballots. A ballot numbers one leader election by its round
+/// and the instance that started it.
 namespace filbertwall {
 
-/// Negative, 0 or positive as `left` is lower, equal or higher.
+/// Compares the rounds first, then the instance ids. Returns a negative value,
+/// 0 or a positive value if `left` is lower than, equal to or higher than
+/// `right`.
 int CompareBallots(const wire::Ballot& left, const wire::Ballot& right);
 
 }  // namespace filbertwall
--- a/Source/Control/ControlState.cc
+++ b/Source/Control/ControlState.cc
@@ -12,7 +12,7 @@
   record.set_digest(file.digest());
   record.set_submitter(file.submitter());
   if (state.history_size() > kHistoryLimit) {
-    // Trims a tenth at once, so that the cost is spread over many changes.
+    // Removes a tenth of the history at once to amortise the cost of removal.
     const int trimmed = kHistoryLimit / 10;
     state.mutable_history()->DeleteSubrange(0, trimmed);
     state.set_history_floor(state.history(0).version());
@@ -68,14 +68,15 @@
   }
 }
 
-Ruling RuleOn(const wire::ControlState& state, const wire::RulesFile& file) {
+RulesDecision DecideRulesFile(const wire::ControlState& state,
+                              const wire::RulesFile& file) {
   if (file.version() > state.rules().version()) {
     return {};
   }
   if (file.version() < state.history_floor()) {
-    return {.kind = Ruling::Kind::kForgotten,
+    return {.kind = RulesDecision::Kind::kOutsideHistory,
             .reason = "version " + std::to_string(file.version()) +
-                      " is older than the history that is kept"};
+                      " is older than the retained history"};
   }
   const auto& history = state.history();
   const auto record = std::lower_bound(
@@ -84,21 +85,21 @@
         return entry.version() < version;
       });
   if (record == history.end() || record->version() != file.version()) {
-    return {.kind = Ruling::Kind::kRefused,
+    return {.kind = RulesDecision::Kind::kRefused,
             .reason = "version " + std::to_string(file.version()) +
-                      " is behind version " +
+                      " is lower than version " +
                       std::to_string(state.rules().version()) +
                       ", accepted from " + state.rules().submitter()};
   }
   if (record->digest() == file.digest()) {
-    return {.kind = Ruling::Kind::kAccepted,
+    return {.kind = RulesDecision::Kind::kAccepted,
             .reason = "version " + std::to_string(file.version()) +
                       ", accepted from " + record->submitter()};
   }
-  return {.kind = Ruling::Kind::kRefused,
+  return {.kind = RulesDecision::Kind::kRefused,
           .reason = "version " + std::to_string(file.version()) +
                     " was already accepted from " + record->submitter() +
-                    " with another text"};
+                    " with different content"};
 }
 
 bool IsVoter(const wire::ControlState& state, std::uint32_t instance,
@@ -113,12 +114,12 @@
 
 bool IsMajority(const wire::ControlState& state,
                 const std::set<std::uint32_t>& instances) {
-  const auto held =
+  const auto voters_present =
       std::count_if(state.members().begin(), state.members().end(),
                     [&](const wire::Member& member) {
                       return instances.contains(member.instance());
                     });
-  return 2 * held > state.members_size();
+  return 2 * voters_present > state.members_size();
 }
 
 }  // namespace filbertwall
--- a/Source/Control/Replica.cc
+++ b/Source/Control/Replica.cc
@@ -4,81 +4,91 @@
 
 #include "Base/Hash.h"
 #include "Control/Ballot.h"
-#include "Control/ReplicaTurn.h"
+#include "Control/ReplicaContext.h"
 
 namespace filbertwall {
 namespace {
 
-/// Without a leader for this long, a voter asks whether it still is one.
-constexpr Milliseconds kLeaderlessLimit{4000};
+/// With open membership, a voter without a leader for this long sends join
+/// requests, in case it is no longer a voter.
+constexpr Milliseconds kLeaderlessTimeout{4000};
 
-/// Spreads elections, so that two candidates rarely start together.
+/// Returns a pseudo-random delay below `election_jitter`, so that two replicas
+/// rarely start an election at the same time.
 Milliseconds ElectionJitter(const Replica& replica) {
   const std::uint64_t hash =
       MixHash(MixHash(replica.config.self, replica.incarnation),
               replica.highest_round_seen);
-  return Milliseconds(hash % replica.config.election_spread.count());
+  return Milliseconds(hash % replica.config.election_jitter.count());
 }
 
-/// A frozen process may wake long after its lease; nothing else comes first.
-void ExpireLeadership(ReplicaTurn& turn) {
-  Replica& replica = turn.replica;
-  const bool settled = turn.now >= replica.elected_at + replica.config.lease;
-  if (replica.role == ReplicaRole::kLeader && settled &&
-      !HasLease(replica, turn.now)) {
-    StepDown(turn);
+/// Steps down if the lease of this leader has expired. This runs before any
+/// event is handled, since a suspended process may resume long after the end of
+/// its lease. A new leader has one lease duration to obtain its first lease.
+void ExpireLeadership(ReplicaContext& context) {
+  Replica& replica = context.replica;
+  const bool initial_lease_elapsed =
+      context.now >= replica.elected_at + replica.config.lease;
+  if (replica.role == ReplicaRole::kLeader && initial_lease_elapsed &&
+      !HasLease(replica, context.now)) {
+    StepDown(context);
   }
 }
 
-void HandleStarted(ReplicaTurn& turn) {
-  Replica& replica = turn.replica;
-  replica.leaderless_since = turn.now;
-  // The lease that was granted before a restart is not on disk.
-  replica.lease_granted_until = turn.now + replica.config.restart_wait;
-  replica.election_at = replica.lease_granted_until + ElectionJitter(replica);
-  const bool alone = IsVoter(replica) && replica.committed.members_size() == 1;
-  if (alone) {
-    StartElection(turn);
+void HandleStarted(ReplicaContext& context) {
+  Replica& replica = context.replica;
+  replica.leaderless_since = context.now;
+  // A lease granted before the restart is not stored on disk, so this replica
+  // assumes that it granted one that ends after `restart_vote_delay`.
+  replica.lease_granted_until = context.now + replica.config.restart_vote_delay;
+  replica.next_election_at =
+      replica.lease_granted_until + ElectionJitter(replica);
+  const bool only_voter =
+      IsVoter(replica) && replica.committed.members_size() == 1;
+  if (only_voter) {
+    StartElection(context);
   }
 }
 
-void HandleTick(ReplicaTurn& turn) {
-  Replica& replica = turn.replica;
+void HandleTick(ReplicaContext& context) {
+  Replica& replica = context.replica;
   if (!IsVoter(replica)) {
-    AskToJoin(turn);
+    RequestJoin(context);
     return;
   }
   if (replica.role == ReplicaRole::kLeader) {
-    if (turn.now >= replica.heartbeat_at) {
-      SendHeartbeats(turn);
+    if (context.now >= replica.next_heartbeat_at) {
+      SendHeartbeats(context);
     }
-    StepMembership(turn);
+    UpdateMembership(context);
     return;
   }
-  const bool lost = replica.config.open_membership &&
-                    turn.now > replica.leaderless_since + kLeaderlessLimit;
-  if (lost) {
-    // It may have been removed, or know only voters that were replaced.
-    AskToJoin(turn);
+  const bool without_leader =
+      replica.config.open_membership &&
+      context.now > replica.leaderless_since + kLeaderlessTimeout;
+  if (without_leader) {
+    // The replica may have been removed, or all voters that it knows may have
+    // been replaced.
+    RequestJoin(context);
   }
-  if (turn.now >= replica.election_at) {
-    StartElection(turn);
+  if (context.now >= replica.next_election_at) {
+    StartElection(context);
   }
 }
 
-void HandleReceived(ReplicaTurn& turn, const ControlReceived& event) {
-  Replica& replica = turn.replica;
+void HandleReceived(ReplicaContext& context, const ControlReceived& event) {
+  Replica& replica = context.replica;
   const wire::ControlMessage& message = event.message;
-  const bool blank = replica.committed.cluster() == 0;
+  const bool has_no_state = replica.committed.cluster() == 0;
   if (replica.role == ReplicaRole::kLeader &&
       IsVoter(replica.committed, event.from, message.incarnation())) {
-    replica.heard[event.from] = turn.now;
+    replica.voter_heard_at[event.from] = context.now;
   }
   if (message.has_join()) {
-    const bool foreign = message.cluster() != 0 &&
-                         message.cluster() != replica.committed.cluster();
-    if (!blank && !foreign) {
-      HandleJoin(turn,
+    const bool other_cluster = message.cluster() != 0 &&
+                               message.cluster() != replica.committed.cluster();
+    if (!has_no_state && !other_cluster) {
+      HandleJoin(context,
                  JoinRequest{.instance = event.from,
                              .incarnation = message.incarnation(),
                              .has_state = message.cluster() != 0,
@@ -86,9 +96,9 @@
     }
     return;
   }
-  if (blank) {
+  if (has_no_state) {
     if (message.has_install()) {
-      HandleInstall(turn, event.from, message.install());
+      HandleInstall(context, event.from, message.install());
     }
     return;
   }
@@ -99,33 +109,33 @@
       IsVoter(replica.committed, event.from, message.incarnation());
   switch (message.kind_case()) {
     case wire::ControlMessage::kPrepare:
-      HandlePrepare(turn, event.from, message.prepare(), from_voter);
+      HandlePrepare(context, event.from, message.prepare(), from_voter);
       return;
     case wire::ControlMessage::kPromise:
       if (from_voter) {
-        HandlePromise(turn, event.from, message.promise());
+        HandlePromise(context, event.from, message.promise());
       }
       return;
     case wire::ControlMessage::kAccept:
-      HandleAccept(turn, event.from, message.accept());
+      HandleAccept(context, event.from, message.accept());
       return;
     case wire::ControlMessage::kAccepted:
       if (from_voter) {
-        HandleAccepted(turn, event.from, message.accepted());
+        HandleAccepted(context, event.from, message.accepted());
       }
       return;
     case wire::ControlMessage::kHeartbeat:
-      HandleHeartbeat(turn, event.from, message.heartbeat());
+      HandleHeartbeat(context, event.from, message.heartbeat());
       return;
     case wire::ControlMessage::kHeartbeatAck:
       if (from_voter) {
-        HandleHeartbeatAck(turn, event.from, message.heartbeat_ack());
+        HandleHeartbeatAck(context, event.from, message.heartbeat_ack());
       } else {
-        HandleStandbyAck(turn, event.from, message.heartbeat_ack());
+        HandleStandbyAck(context, event.from, message.heartbeat_ack());
       }
       return;
     case wire::ControlMessage::kInstall:
-      HandleInstall(turn, event.from, message.install());
+      HandleInstall(context, event.from, message.install());
       return;
     case wire::ControlMessage::kJoin:
     case wire::ControlMessage::KIND_NOT_SET:
@@ -134,14 +144,14 @@
 }
 
 struct EventVisitor {
-  ReplicaTurn& turn;
-  void operator()(const ControlStarted&) { HandleStarted(this->turn); }
-  void operator()(const ControlTick&) { HandleTick(this->turn); }
+  ReplicaContext& context;
+  void operator()(const ControlStarted&) { HandleStarted(this->context); }
+  void operator()(const ControlTick&) { HandleTick(this->context); }
   void operator()(const ControlReceived& event) {
-    HandleReceived(this->turn, event);
+    HandleReceived(this->context, event);
   }
   void operator()(const ControlSubmitted& event) {
-    HandleSubmitted(this->turn, event);
+    HandleSubmitted(this->context, event);
   }
 };
 
@@ -150,9 +160,9 @@
 std::vector<ControlEffect> Reduce(Replica& replica, const ControlEvent& event,
                                   TimePoint now) {
   std::vector<ControlEffect> effects;
-  ReplicaTurn turn{.replica = replica, .now = now, .effects = effects};
-  ExpireLeadership(turn);
-  std::visit(EventVisitor{.turn = turn}, event);
+  ReplicaContext context{.replica = replica, .now = now, .effects = effects};
+  ExpireLeadership(context);
+  std::visit(EventVisitor{.context = context}, event);
   return effects;
 }
 
@@ -161,7 +171,7 @@
     replica.incarnation = record.incarnation();
   }
   if (record.has_promised()) {
-    replica.promised = record.promised();
+    replica.promised_ballot = record.promised();
   }
   if (record.has_state()) {
     replica.committed = record.state();
@@ -177,13 +187,13 @@
     replica.tip = record.tip();
   }
   replica.highest_round_seen =
-      std::max(replica.highest_round_seen, replica.promised.round());
+      std::max(replica.highest_round_seen, replica.promised_ballot.round());
 }
 
-wire::DurableRecord FullRecord(const Replica& replica) {
+wire::DurableRecord SnapshotRecord(const Replica& replica) {
   wire::DurableRecord record;
   record.set_incarnation(replica.incarnation);
-  *record.mutable_promised() = replica.promised;
+  *record.mutable_promised() = replica.promised_ballot;
   *record.mutable_state() = replica.committed;
   if (replica.tip) {
     *record.mutable_tip() = *replica.tip;
@@ -195,14 +205,15 @@
   if (replica.role != ReplicaRole::kLeader) {
     return false;
   }
-  // Clocks of two instances may run at rates that differ by this share.
+  // Allows the clock rates of two instances to differ by a tenth.
   const Milliseconds drift_margin = replica.config.lease / 10;
-  const TimePoint oldest = now - replica.config.lease + drift_margin;
+  const TimePoint oldest_valid_ack = now - replica.config.lease + drift_margin;
   std::set<std::uint32_t> confirmed;
   for (const wire::Member& member : replica.committed.members()) {
-    const auto ack = replica.acked.find(member.instance());
+    const auto ack = replica.last_acked_send.find(member.instance());
     const bool own = member.instance() == replica.config.self;
-    if (own || (ack != replica.acked.end() && ack->second > oldest)) {
+    if (own || (ack != replica.last_acked_send.end() &&
+                ack->second > oldest_valid_ack)) {
       confirmed.insert(member.instance());
     }
   }
@@ -213,12 +224,12 @@
   return IsVoter(replica.committed, replica.config.self, replica.incarnation);
 }
 
-bool KnowsNewest(const Replica& replica, TimePoint now, Milliseconds limit) {
+bool HasFreshState(const Replica& replica, TimePoint now, Milliseconds limit) {
   if (replica.role == ReplicaRole::kLeader) {
     return HasLease(replica, now);
   }
   return replica.leader != 0 && now - replica.leader_heard_at <= limit &&
-         replica.committed.seq() >= replica.leader_committed;
+         replica.committed.seq() >= replica.leader_committed_seq;
 }
 
 wire::DurableRecord FoundingRecord(std::uint32_t instance,
@@ -239,9 +250,9 @@
   return record;
 }
 
-wire::DurableRecord FormatRecord(std::uint32_t instance,
-                                 std::uint64_t incarnation,
-                                 std::uint64_t cluster) {
+wire::DurableRecord SingleVoterRecord(std::uint32_t instance,
+                                      std::uint64_t incarnation,
+                                      std::uint64_t cluster) {
   wire::DurableRecord record;
   record.set_incarnation(incarnation);
   record.mutable_state()->set_cluster(cluster);
@@ -251,45 +262,46 @@
   return record;
 }
 
-void FollowLeader(ReplicaTurn& turn, std::uint32_t leader) {
-  Replica& replica = turn.replica;
+void FollowLeader(ReplicaContext& context, std::uint32_t leader) {
+  Replica& replica = context.replica;
   if (replica.role != ReplicaRole::kFollower) {
-    StepDown(turn);
+    StepDown(context);
   }
   replica.leader = leader;
-  replica.leaderless_since = turn.now;
-  replica.lease_granted_until = turn.now + replica.config.lease;
-  replica.election_at = replica.lease_granted_until + ElectionJitter(replica);
+  replica.leaderless_since = context.now;
+  replica.lease_granted_until = context.now + replica.config.lease;
+  replica.next_election_at =
+      replica.lease_granted_until + ElectionJitter(replica);
 }
 
-void StepDown(ReplicaTurn& turn) {
-  Replica& replica = turn.replica;
-  const auto give_up = [&](std::uint64_t token) {
+void StepDown(ReplicaContext& context) {
+  Replica& replica = context.replica;
+  const auto reply_unknown = [&](std::uint64_t token) {
     if (token != 0) {
-      turn.effects.emplace_back(ControlVerdict{
+      context.effects.emplace_back(ControlVerdict{
           .token = token,
           .verdict = wire::UNKNOWN,
           .reason = "no majority of the control instances was reached"});
     }
   };
   if (replica.proposing) {
-    give_up(replica.proposal_token);
+    reply_unknown(replica.proposal_token);
   }
   for (const PendingChange& pending : replica.queue) {
-    give_up(pending.token);
+    reply_unknown(pending.token);
   }
   replica.queue.clear();
   replica.proposing = false;
   replica.proposal_token = 0;
   replica.role = ReplicaRole::kFollower;
   replica.leader = 0;
-  replica.leaderless_since = turn.now;
+  replica.leaderless_since = context.now;
   replica.promises.clear();
-  replica.acked.clear();
-  replica.heard.clear();
+  replica.last_acked_send.clear();
+  replica.voter_heard_at.clear();
   replica.standbys.clear();
-  replica.election_at =
-      turn.now + replica.config.lease + ElectionJitter(replica);
+  replica.next_election_at =
+      context.now + replica.config.lease + ElectionJitter(replica);
 }
 
 }  // namespace filbertwall
--- a/Source/Control/Replica.h
+++ b/Source/Control/Replica.h
@@ -13,77 +13,98 @@
 #include "Control/ControlState.h"
 #include "Wire/wire.pb.h"
 
-/// One control instance's part in the replication of the control state.
+/// Consensus replica of the control state at one control instance.
 ///
-/// A reducer without clock, socket, disk or random source. At most one entry
-/// is undecided at any time; see docs/design/0002-control.md.
+/// `Reduce` uses no clock, socket, disk or random source. At most one entry
+/// is uncommitted at any time; see docs/design/0002-control.md.
 namespace filbertwall {
 
-/// Settings of a replica; the same at every control instance.
+/// Settings of a replica. All but `self` must be equal at all control
+/// instances.
 struct ReplicaConfig {
   std::uint32_t self = 0;
   std::set<std::uint32_t> control_instances;  ///< May become voters.
-  /// Any instance that asks may become a voter, and silent ones give their
-  /// place to another; see `VoterChange.h`.
+  /// If set, any instance that sends a join request may become a voter, also
+  /// outside `control_instances`, and the leader replaces silent voters; see
+  /// `VoterChange.h`.
   bool open_membership = false;
-  std::uint32_t least_voters = 3;  ///< Never fewer, once there were as many.
-  Milliseconds heartbeat_interval{100};
+  /// With open membership, the leader aims for at least this many voters and
+  /// removes none if fewer would remain.
+  std::uint32_t min_voters = 3;
+  Milliseconds heartbeat_interval{100};  ///< Of the leader.
+  /// A voter that follows a leader grants no vote to another instance for this
+  /// long. The leader holds its lease while a majority of the voters has
+  /// acknowledged recent heartbeats; see `HasLease`.
   Milliseconds lease{1000};
-  Milliseconds join_interval{300};
-  /// After a start no vote is given for this long, so that a living leader is
-  /// heard first. Less than the lease: a leader that is cut off may then still
-  /// claim to lead, for what is left of its lease, beside a new one.
-  Milliseconds restart_wait{1000};
-  /// Elections of several replicas are spread over this time.
-  Milliseconds election_spread{1000};
+  Milliseconds join_interval{300};  ///< Between join requests.
+  /// After a start the replica grants no vote for this long, so that it can
+  /// first receive a message from an existing leader. If this is shorter than
+  /// `lease`, a new leader may be elected while a leader on the other side of a
+  /// network partition still holds its lease.
+  Milliseconds restart_vote_delay{1000};
+  /// Upper bound of the pseudo-random delay before an election, which makes
+  /// simultaneous elections of several replicas rare. Must be positive.
+  Milliseconds election_jitter{1000};
 };
 
 enum class ReplicaRole { kFollower, kCandidate, kLeader };
 
-/// A proposal that waits for its turn or for its majority.
+/// A change to propose. The submitter chose the token to match the verdict with
+/// the change.
 struct PendingChange {
-  std::uint64_t token = 0;  ///< 0: nobody waits for a verdict.
+  std::uint64_t token = 0;  ///< 0: no verdict is wanted.
   wire::Change change;
 };
 
-/// An instance that holds the state and does not vote, as its leader sees it.
+/// The leader's record of a standby: an instance that receives the committed
+/// state but does not vote.
 struct Standby {
   std::uint64_t incarnation = 0;
   std::uint64_t committed_seq = 0;
-  TimePoint heard_at;
+  TimePoint heard_at;  ///< When its last message was received.
 };
 
 struct Replica {
   ReplicaConfig config;
 
-  // Durable: rebuilt from the control log.
+  // Durable state, restored from the control log.
   std::uint64_t incarnation = 0;
-  wire::Ballot promised;
+  /// Messages of a leader or candidate with a lower ballot are rejected.
+  wire::Ballot promised_ballot;
   wire::ControlState committed;
+  /// The entry after the last committed one, if this replica has stored it. It
+  /// is not yet known to be committed.
   std::optional<wire::Entry> tip;
 
-  // Volatile.
+  // Volatile state.
   ReplicaRole role = ReplicaRole::kFollower;
-  wire::Ballot ballot;
+  wire::Ballot ballot;  ///< Of this replica's own latest election.
   std::uint64_t highest_round_seen = 0;
+  /// Votes granted to this candidate, by voter.
   std::map<std::uint32_t, wire::Promise> promises;
-  std::set<std::uint32_t> accepted;
-  bool proposing = false;
-  std::uint64_t proposal_token = 0;
+  std::set<std::uint32_t> accepted_by;  ///< Voters that stored the tip.
+  bool proposing = false;               ///< The tip is this leader's proposal.
+  std::uint64_t proposal_token = 0;     ///< Of the proposed change.
+  /// Changes to propose once the current proposal is committed.
   std::deque<PendingChange> queue;
-  std::map<std::uint32_t, TimePoint> acked;  ///< Send time of the last acked.
-  /// When the leader last heard each voter; kept while it leads.
-  std::map<std::uint32_t, TimePoint> heard;
-  std::map<std::uint32_t, Standby> standbys;  ///< By instance, at the leader.
+  /// Send time of the latest heartbeat that each voter acknowledged.
+  std::map<std::uint32_t, TimePoint> last_acked_send;
+  /// When the leader last received a message from each voter.
+  std::map<std::uint32_t, TimePoint> voter_heard_at;
+  std::map<std::uint32_t, Standby> standbys;  ///< Leader only.
   TimePoint elected_at;
+  /// Until then this replica grants no vote against the leader that it follows.
   TimePoint lease_granted_until;
-  TimePoint leader_heard_at;           ///< Last heartbeat of the leader.
-  std::uint64_t leader_committed = 0;  ///< The highest seq that it named.
+  TimePoint leader_heard_at;  ///< When the last heartbeat was received.
+  /// Highest committed sequence number in any heartbeat received.
+  std::uint64_t leader_committed_seq = 0;
+  /// When this replica started, last stepped down or last received a message
+  /// from a leader.
   TimePoint leaderless_since;
-  TimePoint election_at;
-  TimePoint heartbeat_at;
-  TimePoint join_at;
-  std::uint32_t leader = 0;
+  TimePoint next_election_at;   ///< Next election; leader messages delay it.
+  TimePoint next_heartbeat_at;  ///< Next heartbeats. Leader only.
+  TimePoint next_join_at;       ///< Earliest next join requests.
+  std::uint32_t leader = 0;     ///< 0 if unknown.
 };
 
 struct ControlStarted {};
@@ -92,7 +113,7 @@
   std::uint32_t from = 0;
   wire::ControlMessage message;
 };
-/// Asks for a change. `token` comes back in the verdict.
+/// Submits a change. The verdict carries the same `token`.
 struct ControlSubmitted {
   std::uint64_t token = 0;
   wire::Change change;
@@ -104,47 +125,54 @@
   std::uint32_t to = 0;
   wire::ControlMessage message;
 };
-/// Must be synced before any later effect of the same list is carried out.
+/// The record must be synced to disk before any later effect of the same list
+/// is executed.
 struct ControlPersist {
   wire::DurableRecord record;
 };
-/// The committed state has advanced.
-struct ControlAdvanced {};
+/// Reports to the caller that the committed state has changed.
+struct ControlStateChanged {};
 struct ControlVerdict {
   std::uint64_t token = 0;
   wire::Verdict verdict = wire::UNKNOWN;
   std::string reason;
 };
-using ControlEffect =
-    std::variant<ControlSend, ControlPersist, ControlAdvanced, ControlVerdict>;
+using ControlEffect = std::variant<ControlSend, ControlPersist,
+                                   ControlStateChanged, ControlVerdict>;
 
-/// Applies one event. Precondition: `now` never goes back.
+/// Applies one event and returns its effects in order. Precondition: `now` does
+/// not decrease between calls.
 std::vector<ControlEffect> Reduce(Replica& replica, const ControlEvent& event,
                                   TimePoint now);
 
-/// Applies one record of the control log, in the order of writing.
+/// Applies one record of the control log. Records are applied in write order.
 void Restore(Replica& replica, const wire::DurableRecord& record);
 
-/// The record that alone restores the replica's durable state.
-wire::DurableRecord FullRecord(const Replica& replica);
+/// Returns one record that contains the complete durable state.
+wire::DurableRecord SnapshotRecord(const Replica& replica);
 
-/// Whether a majority has confirmed this leader within the lease.
+/// Whether this replica is the leader and a majority of the voters, itself
+/// included, has acknowledged a heartbeat that it sent within the last
+/// `lease`, less a margin of a tenth for clock drift.
 bool HasLease(const Replica& replica, TimePoint now);
 
 bool IsVoter(const Replica& replica);
 
-/// Whether the committed state was confirmed as the newest one within `limit`,
-/// by a majority (leader) or by a leader (voter or standby).
-bool KnowsNewest(const Replica& replica, TimePoint now, Milliseconds limit);
+/// Whether the committed state is known to be the newest one. A leader must
+/// hold its lease. Another replica must have received a heartbeat of a leader
+/// within `limit` and hold every entry that the heartbeats reported as
+/// committed.
+bool HasFreshState(const Replica& replica, TimePoint now, Milliseconds limit);
 
-/// The first state of a new cluster whose founders all write the same one. Each
-/// founder calls it with the same list, before anything was promised.
+/// Returns the initial record of a founder of a new cluster. All founders get
+/// the same state if they pass the same set. Precondition: the replica that
+/// the record is applied to has promised no ballot yet.
 wire::DurableRecord FoundingRecord(std::uint32_t instance,
                                    const std::set<std::uint32_t>& founders);
 
-/// The first state of a new cluster, with this instance as its only voter.
-wire::DurableRecord FormatRecord(std::uint32_t instance,
-                                 std::uint64_t incarnation,
-                                 std::uint64_t cluster);
+/// Returns the initial record of a new cluster whose only voter is `instance`.
+wire::DurableRecord SingleVoterRecord(std::uint32_t instance,
+                                      std::uint64_t incarnation,
+                                      std::uint64_t cluster);
 
 }  // namespace filbertwall
--- /dev/null
+++ b/Source/Control/ReplicaContext.cc
@@ -0,0 +1,92 @@
+#include "Control/ReplicaContext.h"
+
+#include "Base/Hash.h"
+
+namespace filbertwall {
+
+void Send(ReplicaContext& context, std::uint32_t to,
+          wire::ControlMessage message) {
+  message.set_cluster(context.replica.committed.cluster());
+  message.set_incarnation(context.replica.incarnation);
+  context.effects.emplace_back(
+      ControlSend{.to = to, .message = std::move(message)});
+}
+
+void SendToVoters(ReplicaContext& context,
+                  const wire::ControlMessage& message) {
+  for (const wire::Member& member : context.replica.committed.members()) {
+    if (member.instance() != context.replica.config.self) {
+      Send(context, member.instance(), message);
+    }
+  }
+}
+
+void SendInstall(ReplicaContext& context, std::uint32_t to) {
+  wire::ControlMessage message;
+  *message.mutable_install()->mutable_ballot() = context.replica.ballot;
+  *message.mutable_install()->mutable_state() = context.replica.committed;
+  Send(context, to, std::move(message));
+}
+
+void SendHeartbeats(ReplicaContext& context) {
+  Replica& replica = context.replica;
+  replica.next_heartbeat_at = context.now + replica.config.heartbeat_interval;
+  wire::ControlMessage message;
+  wire::Heartbeat& heartbeat = *message.mutable_heartbeat();
+  *heartbeat.mutable_ballot() = replica.ballot;
+  heartbeat.set_committed_seq(replica.committed.seq());
+  heartbeat.set_sent_us(
+      std::chrono::duration_cast<Microseconds>(context.now.time_since_epoch())
+          .count());
+  SendToVoters(context, message);
+  for (const auto& [instance, standby] : replica.standbys) {
+    if (!IsVoter(replica.committed, instance, standby.incarnation)) {
+      Send(context, instance, message);
+    }
+  }
+}
+
+void PersistPromise(ReplicaContext& context, const wire::Ballot& ballot) {
+  context.replica.promised_ballot = ballot;
+  wire::DurableRecord record;
+  *record.mutable_promised() = ballot;
+  context.effects.emplace_back(ControlPersist{.record = std::move(record)});
+}
+
+void PersistTip(ReplicaContext& context) {
+  wire::DurableRecord record;
+  *record.mutable_tip() = *context.replica.tip;
+  context.effects.emplace_back(ControlPersist{.record = std::move(record)});
+}
+
+void CommitTip(ReplicaContext& context) {
+  Replica& replica = context.replica;
+  wire::DurableRecord record;
+  record.set_committed_seq(replica.tip->seq());
+  ApplyEntry(replica.committed, *replica.tip);
+  replica.tip.reset();
+  context.effects.emplace_back(ControlPersist{.record = std::move(record)});
+  context.effects.emplace_back(ControlStateChanged{});
+}
+
+void InstallState(ReplicaContext& context, const wire::ControlState& state) {
+  Replica& replica = context.replica;
+  replica.committed = state;
+  const bool removed =
+      replica.config.open_membership &&
+      WasRemoved(state, replica.config.self, replica.incarnation);
+  if (removed) {
+    // The promises of the old incarnation no longer count, as after the loss of
+    // a disk.
+    replica.incarnation = MixHash(replica.incarnation, state.seq()) | 1U;
+    replica.promised_ballot.Clear();
+  }
+  if (replica.tip && replica.tip->seq() <= state.seq()) {
+    replica.tip.reset();
+  }
+  context.effects.emplace_back(
+      ControlPersist{.record = SnapshotRecord(replica)});
+  context.effects.emplace_back(ControlStateChanged{});
+}
+
+}  // namespace filbertwall
--- a/Source/Control/ReplicaElection.cc
+++ b/Source/Control/ReplicaElection.cc
@@ -1,14 +1,16 @@
 #include <algorithm>
 
 #include "Control/Ballot.h"
-#include "Control/ReplicaTurn.h"
+#include "Control/ReplicaContext.h"
 
-/// Elections: how a replica becomes the leader, and what it promises others.
+/// Leader election: the prepare and promise messages and the start of
+/// leadership.
 namespace filbertwall {
 namespace {
 
-/// The undecided entry of the highest ballot among the promises, if any.
-std::optional<wire::Entry> HighestTip(const Replica& replica) {
+/// Returns the uncommitted entry with the highest ballot among this replica's
+/// own and those in the promises, if any.
+std::optional<wire::Entry> HighestUndecidedEntry(const Replica& replica) {
   std::optional<wire::Entry> highest = replica.tip;
   for (const auto& [instance, promise] : replica.promises) {
     const bool next =
@@ -24,41 +26,45 @@
   return highest;
 }
 
-void BecomeLeader(ReplicaTurn& turn) {
-  Replica& replica = turn.replica;
+void BecomeLeader(ReplicaContext& context) {
+  Replica& replica = context.replica;
   replica.role = ReplicaRole::kLeader;
   replica.leader = replica.config.self;
-  replica.elected_at = turn.now;
-  replica.acked.clear();
+  replica.elected_at = context.now;
+  replica.last_acked_send.clear();
   for (const wire::Member& member : replica.committed.members()) {
-    // Not heard yet as a leader, so not silent for long either.
-    replica.heard.try_emplace(member.instance(), turn.now);
+    // The silence of a voter is measured from the start of leadership at the
+    // earliest, since a new leader has not received messages of all voters yet.
+    replica.voter_heard_at.try_emplace(member.instance(), context.now);
   }
-  const std::optional<wire::Entry> undecided = HighestTip(replica);
+  const std::optional<wire::Entry> undecided = HighestUndecidedEntry(replica);
   replica.promises.clear();
-  SendHeartbeats(turn);
+  SendHeartbeats(context);
   if (undecided) {
-    // It may already be accepted by a majority; nothing else can take its seq.
-    Propose(turn, PendingChange{.change = undecided->change()});
+    // A majority may have stored the entry already, so no other entry may take
+    // its sequence number.
+    Propose(context, PendingChange{.change = undecided->change()});
     return;
   }
-  ProposeNext(turn);
+  ProposeNext(context);
 }
 
-void BecomeLeaderOnMajority(ReplicaTurn& turn) {
-  Replica& replica = turn.replica;
+void BecomeLeaderOnMajority(ReplicaContext& context) {
+  Replica& replica = context.replica;
   std::set<std::uint32_t> granted = {replica.config.self};
   for (const auto& [instance, promise] : replica.promises) {
     granted.insert(instance);
   }
   if (IsMajority(replica.committed, granted)) {
-    BecomeLeader(turn);
+    BecomeLeader(context);
   }
 }
 
-/// Whether a promise may be given; a refusal that names a higher ballot is
-/// answered, one for the sake of another's lease is not.
-bool MayPromise(const Replica& replica, TimePoint now, std::uint32_t from) {
+/// Whether this replica may grant a vote to `from`: neither a lease that it
+/// granted to another leader nor its own lease as the leader is in force. A
+/// prepare message during a lease gets no reply, whereas one with a ballot
+/// lower than the promised one gets a rejection.
+bool CanPromise(const Replica& replica, TimePoint now, std::uint32_t from) {
   const bool lease_of_another =
       now < replica.lease_granted_until && replica.leader != from;
   const bool own_lease =
@@ -68,20 +74,21 @@
 
 }  // namespace
 
-void StartElection(ReplicaTurn& turn) {
-  Replica& replica = turn.replica;
+void StartElection(ReplicaContext& context) {
+  Replica& replica = context.replica;
   const bool ballot_still_highest =
       replica.role == ReplicaRole::kCandidate &&
       replica.ballot.round() >= replica.highest_round_seen &&
-      CompareBallots(replica.ballot, replica.promised) == 0;
+      CompareBallots(replica.ballot, replica.promised_ballot) == 0;
   if (!ballot_still_highest) {
-    // A candidate that nobody hears keeps its ballot, so that a long cut does
-    // not raise the round without end.
+    // A candidate that received no higher ballot keeps its own, so that a long
+    // network partition does not increase the round again and again.
     replica.highest_round_seen =
-        std::max(replica.highest_round_seen, replica.promised.round()) + 1;
+        std::max(replica.highest_round_seen, replica.promised_ballot.round()) +
+        1;
     replica.ballot.set_round(replica.highest_round_seen);
     replica.ballot.set_instance(replica.config.self);
-    PersistPromise(turn, replica.ballot);
+    PersistPromise(context, replica.ballot);
   }
   replica.role = ReplicaRole::kCandidate;
   replica.leader = 0;
@@ -89,45 +96,48 @@
   replica.promises.clear();
   const Milliseconds retry =
       replica.config.heartbeat_interval * (2 + replica.config.self % 5);
-  replica.election_at = turn.now + retry;
+  replica.next_election_at = context.now + retry;
   wire::ControlMessage message;
   wire::Prepare& prepare = *message.mutable_prepare();
   *prepare.mutable_ballot() = replica.ballot;
   prepare.set_committed_seq(replica.committed.seq());
-  SendToVoters(turn, message);
-  BecomeLeaderOnMajority(turn);
+  SendToVoters(context, message);
+  BecomeLeaderOnMajority(context);
 }
 
-void HandlePrepare(ReplicaTurn& turn, std::uint32_t from,
+void HandlePrepare(ReplicaContext& context, std::uint32_t from,
                    const wire::Prepare& prepare, bool from_voter) {
-  Replica& replica = turn.replica;
-  const bool knows_better = prepare.committed_seq() > replica.committed.seq();
-  if (!IsVoter(replica) && knows_better) {
-    // It may have become a voter; the candidate needs its promise.
-    SendJoin(turn, from);
+  Replica& replica = context.replica;
+  const bool candidate_is_ahead =
+      prepare.committed_seq() > replica.committed.seq();
+  if (!IsVoter(replica) && candidate_is_ahead) {
+    // This replica may have become a voter without knowing it, and the
+    // candidate may need its promise. The join request makes the candidate send
+    // the newer state.
+    SendJoin(context, from);
   }
-  if (!IsVoter(replica) || (!from_voter && !knows_better) ||
-      !MayPromise(replica, turn.now, from)) {
+  if (!IsVoter(replica) || (!from_voter && !candidate_is_ahead) ||
+      !CanPromise(replica, context.now, from)) {
     return;
   }
   wire::ControlMessage message;
   wire::Promise& promise = *message.mutable_promise();
   *promise.mutable_ballot() = prepare.ballot();
-  const int order = CompareBallots(prepare.ballot(), replica.promised);
+  const int order = CompareBallots(prepare.ballot(), replica.promised_ballot);
   if (order < 0) {
-    *promise.mutable_promised() = replica.promised;
-    Send(turn, from, std::move(message));
+    *promise.mutable_promised() = replica.promised_ballot;
+    Send(context, from, std::move(message));
     return;
   }
   if (order > 0) {
     if (replica.role != ReplicaRole::kFollower) {
-      StepDown(turn);
+      StepDown(context);
     }
-    PersistPromise(turn, prepare.ballot());
+    PersistPromise(context, prepare.ballot());
   }
-  // The candidate gets time to win before this replica competes with it.
-  replica.election_at =
-      std::max(replica.election_at, turn.now + replica.config.lease / 2);
+  // Gives the candidate time to win before this replica starts an election.
+  replica.next_election_at = std::max(replica.next_election_at,
+                                      context.now + replica.config.lease / 2);
   promise.set_granted(true);
   if (replica.tip) {
     *promise.mutable_tip() = *replica.tip;
@@ -135,35 +145,35 @@
   if (prepare.committed_seq() < replica.committed.seq()) {
     *promise.mutable_state() = replica.committed;
   }
-  Send(turn, from, std::move(message));
+  Send(context, from, std::move(message));
 }
 
-void HandlePromise(ReplicaTurn& turn, std::uint32_t from,
+void HandlePromise(ReplicaContext& context, std::uint32_t from,
                    const wire::Promise& promise) {
-  Replica& replica = turn.replica;
+  Replica& replica = context.replica;
   replica.highest_round_seen =
       std::max(replica.highest_round_seen, promise.promised().round());
-  const bool current = replica.role == ReplicaRole::kCandidate &&
-                       CompareBallots(promise.ballot(), replica.ballot) == 0;
-  if (!current) {
+  const bool is_current = replica.role == ReplicaRole::kCandidate &&
+                          CompareBallots(promise.ballot(), replica.ballot) == 0;
+  if (!is_current) {
     return;
   }
   if (!promise.granted()) {
-    return;  // The next attempt takes a higher round.
+    return;  // The next election uses a higher round.
   }
   if (promise.state().seq() > replica.committed.seq()) {
-    // The voters may have changed, so the promises so far count for nothing.
-    AdoptState(turn, promise.state());
+    // The voters may have changed, which invalidates the promises received.
+    InstallState(context, promise.state());
     if (IsVoter(replica)) {
       replica.highest_round_seen += 1;
-      StartElection(turn);
+      StartElection(context);
     } else {
-      StepDown(turn);
+      StepDown(context);
     }
     return;
   }
   replica.promises[from] = promise;
-  BecomeLeaderOnMajority(turn);
+  BecomeLeaderOnMajority(context);
 }
 
 }  // namespace filbertwall
--- a/Source/Control/ReplicaMembers.cc
+++ b/Source/Control/ReplicaMembers.cc
@@ -1,120 +1,123 @@
 #include <algorithm>
 
-#include "Control/ReplicaTurn.h"
+#include "Control/ReplicaContext.h"
 #include "Control/VoterChange.h"
 
-/// Membership: which instances vote, and which stand by.
+/// Membership: the voters and the standbys.
 namespace filbertwall {
 namespace {
 
-/// A standby that was not heard for this long is not sent anything.
-constexpr Milliseconds kStandbyLifetime{1000};
-/// Without a leader's heartbeat for this long, all are asked.
-constexpr Milliseconds kLeaderSilence{500};
+/// The leader removes a standby after this time without a message from it.
+constexpr Milliseconds kStandbyTimeout{1000};
+/// After this time without a heartbeat of the leader, join requests are sent to
+/// all configured control instances and voters.
+constexpr Milliseconds kLeaderTimeout{500};
 
-VoterSituation SituationOf(const ReplicaTurn& turn) {
-  const Replica& replica = turn.replica;
-  VoterSituation situation{.living_standbys = replica.standbys.size(),
-                           .least_voters = replica.config.least_voters};
+MembershipStatus BuildMembershipStatus(const ReplicaContext& context) {
+  const Replica& replica = context.replica;
+  MembershipStatus membership{.reachable_standbys = replica.standbys.size(),
+                              .min_voters = replica.config.min_voters};
   for (const wire::Member& member : replica.committed.members()) {
-    const auto heard = replica.heard.find(member.instance());
-    const bool known = heard != replica.heard.end();
-    situation.voters.push_back(
+    const auto heard = replica.voter_heard_at.find(member.instance());
+    const bool known = heard != replica.voter_heard_at.end();
+    membership.voters.push_back(
         VoterStatus{.instance = member.instance(),
                     .silence = known ? std::chrono::duration_cast<Milliseconds>(
-                                           turn.now - heard->second)
+                                           context.now - heard->second)
                                      : Milliseconds(0),
-                    .leads = member.instance() == replica.config.self});
+                    .is_leader = member.instance() == replica.config.self});
   }
   for (const auto& [instance, standby] : replica.standbys) {
     if (standby.committed_seq >= replica.committed.seq()) {
-      situation.standbys.push_back(StandbyStatus{
+      membership.standbys.push_back(StandbyStatus{
           .instance = instance, .incarnation = standby.incarnation});
     }
   }
-  return situation;
+  return membership;
 }
 
-void ProposeMemberChange(ReplicaTurn& turn, const wire::MemberChange& change) {
+void ProposeMemberChange(ReplicaContext& context,
+                         const wire::MemberChange& change) {
   PendingChange pending;
   *pending.change.mutable_member() = change;
-  Propose(turn, pending);
+  Propose(context, pending);
 }
 
-void NoteStandby(ReplicaTurn& turn, const JoinRequest& request) {
-  turn.replica.standbys[request.instance] =
+void RecordStandby(ReplicaContext& context, const JoinRequest& request) {
+  context.replica.standbys[request.instance] =
       Standby{.incarnation = request.incarnation,
               .committed_seq = request.committed_seq,
-              .heard_at = turn.now};
+              .heard_at = context.now};
 }
 
 }  // namespace
 
-void SendJoin(ReplicaTurn& turn, std::uint32_t to) {
+void SendJoin(ReplicaContext& context, std::uint32_t to) {
   wire::ControlMessage message;
-  message.mutable_join()->set_committed_seq(turn.replica.committed.seq());
-  Send(turn, to, std::move(message));
+  message.mutable_join()->set_committed_seq(context.replica.committed.seq());
+  Send(context, to, std::move(message));
 }
 
-void AskToJoin(ReplicaTurn& turn) {
-  Replica& replica = turn.replica;
-  if (turn.now < replica.join_at) {
+void RequestJoin(ReplicaContext& context) {
+  Replica& replica = context.replica;
+  if (context.now < replica.next_join_at) {
     return;
   }
-  replica.join_at = turn.now + replica.config.join_interval;
+  replica.next_join_at = context.now + replica.config.join_interval;
   const bool follows = replica.leader != 0 &&
-                       turn.now - replica.leader_heard_at <= kLeaderSilence;
+                       context.now - replica.leader_heard_at <= kLeaderTimeout;
   if (follows) {
-    SendJoin(turn, replica.leader);
+    SendJoin(context, replica.leader);
     return;
   }
-  std::set<std::uint32_t> asked = replica.config.control_instances;
+  std::set<std::uint32_t> recipients = replica.config.control_instances;
   for (const wire::Member& member : replica.committed.members()) {
-    asked.insert(member.instance());
+    recipients.insert(member.instance());
   }
-  asked.erase(replica.config.self);
-  for (const std::uint32_t instance : asked) {
-    SendJoin(turn, instance);
+  recipients.erase(replica.config.self);
+  for (const std::uint32_t instance : recipients) {
+    SendJoin(context, instance);
   }
 }
 
-void StepMembership(ReplicaTurn& turn) {
-  Replica& replica = turn.replica;
+void UpdateMembership(ReplicaContext& context) {
+  Replica& replica = context.replica;
   std::erase_if(replica.standbys, [&](const auto& item) {
-    return turn.now - item.second.heard_at > kStandbyLifetime;
+    return context.now - item.second.heard_at > kStandbyTimeout;
   });
   if (!replica.config.open_membership || replica.proposing ||
-      !HasLease(replica, turn.now)) {
+      !HasLease(replica, context.now)) {
     return;
   }
-  if (const auto change = PlanVoterChange(SituationOf(turn))) {
-    ProposeMemberChange(turn, *change);
+  if (const auto change = PlanVoterChange(BuildMembershipStatus(context))) {
+    ProposeMemberChange(context, *change);
   }
 }
 
-void HandleStandbyAck(ReplicaTurn& turn, std::uint32_t from,
+void HandleStandbyAck(ReplicaContext& context, std::uint32_t from,
                       const wire::HeartbeatAck& ack) {
-  Replica& replica = turn.replica;
+  Replica& replica = context.replica;
   const auto standby = replica.standbys.find(from);
   if (replica.role != ReplicaRole::kLeader ||
       standby == replica.standbys.end()) {
     return;
   }
-  standby->second.heard_at = turn.now;
+  standby->second.heard_at = context.now;
   standby->second.committed_seq = ack.committed_seq();
   if (ack.committed_seq() < replica.committed.seq()) {
-    SendInstall(turn, from);
+    SendInstall(context, from);
   }
 }
 
-void HandleJoin(ReplicaTurn& turn, const JoinRequest& request) {
-  Replica& replica = turn.replica;
+void HandleJoin(ReplicaContext& context, const JoinRequest& request) {
+  Replica& replica = context.replica;
   if (replica.role == ReplicaRole::kFollower || request.incarnation == 0) {
     return;
   }
   if (WasRemoved(replica.committed, request.instance, request.incarnation)) {
     if (replica.config.open_membership) {
-      SendInstall(turn, request.instance);  // It takes a new incarnation.
+      // Makes the instance take a new incarnation.
+      SendInstall(context, request.instance);
     }
     return;
   }
@@ -124,29 +127,29 @@
   if (!allowed) {
     return;
   }
-  const bool already =
+  const bool already_voter =
       IsVoter(replica.committed, request.instance, request.incarnation);
   const bool caught_up =
       request.has_state && request.committed_seq >= replica.committed.seq();
-  if (already || !caught_up) {
-    // Also as a candidate: a voter that does not know that it is one can't
-    // promise anything.
-    SendInstall(turn, request.instance);
+  if (already_voter || !caught_up) {
+    // A candidate sends the state as well, since an instance that does not know
+    // yet that it has become a voter grants no promise.
+    SendInstall(context, request.instance);
     return;
   }
   if (replica.role != ReplicaRole::kLeader) {
     return;
   }
   if (replica.config.open_membership) {
-    NoteStandby(turn, request);
-    StepMembership(turn);
+    RecordStandby(context, request);
+    UpdateMembership(context);
     return;
   }
-  if (!replica.proposing && HasLease(replica, turn.now)) {
+  if (!replica.proposing && HasLease(replica, context.now)) {
     wire::MemberChange change;
     change.set_instance(request.instance);
     change.set_incarnation(request.incarnation);
-    ProposeMemberChange(turn, change);
+    ProposeMemberChange(context, change);
   }
 }
 
--- a/Source/Distribution/PackedContents.h
+++ b/Source/Distribution/PackedContents.h
@@ -9,44 +9,57 @@
 #include "Registry/Registry.h"
 #include "Wire/distribution.pb.h"
 
-/// Contents of updates, encoded and compressed once for all their receivers.
+/// Cache of the serialized and compressed routes and server records that are
+/// sent to other instances in updates.
 ///
-/// Load that it answers: hundreds of instances that start at the same moment
-/// each ask for every route and every backend server. Plain state and pure
+/// Without the cache, every route and every backend server record would be
+/// serialized and compressed once per receiver, for example for each of
+/// hundreds of instances that start at the same time. Plain state and pure
 /// functions; not thread safe.
 namespace filbertwall {
 
-/// Records as they were packed for receivers that have the same.
+/// A packed batch of server records, shared by all receivers that already have
+/// the records up to the same change number.
 struct PackedRecords {
   std::string bytes;
-  std::uint64_t change = 0;  ///< All up to it are in this or earlier batches.
-  bool complete = true;      ///< There are no later ones.
-  std::uint64_t newest_change = 0;  ///< The registry's, when they were packed.
+  /// Number of the last registry change that this batch covers. The next batch
+  /// starts after it.
+  std::uint64_t change = 0;
+  bool complete = true;  ///< This is the last batch.
+  /// `Registry::change` at packing time. The batch is outdated when it differs.
+  std::uint64_t registry_change = 0;
   TimePoint packed_at;
 };
 
 struct PackedContents {
-  std::uint64_t rules_version = 0;                 ///< What `routes` lead to.
-  std::map<std::uint64_t, std::string> routes;     ///< By base version.
-  std::map<std::uint64_t, PackedRecords> records;  ///< By change of receiver.
+  /// The rules version to which the updates in `routes` lead.
+  std::uint64_t rules_version = 0;
+  /// Packed route updates by the rules version that the receiver has; 0 for the
+  /// update with every route.
+  std::map<std::uint64_t, std::string> routes;
+  /// Packed batches by the number of the last registry change that the receiver
+  /// has.
+  std::map<std::uint64_t, PackedRecords> records;
 };
 
-/// What an instance with `base` lacks to have the newest rules, by
-/// `RoutesSince`; empty when it lacks nothing. The result is valid until the
-/// next call.
+/// Returns the packed result of `RoutesSince` for a receiver with rules version
+/// `base`; empty when the receiver is up to date. The reference is valid until
+/// the next call.
 const std::string& PackRoutesSince(PackedContents& packed,
                                    const RouteHistory& history,
                                    std::uint64_t base);
 
-/// The records after `change`, by `RecordsAfter`. The result is valid until the
-/// next call.
+/// Returns the packed result of `RecordsAfter` for a receiver that has the
+/// records up to change number `change`. The reference is valid until the next
+/// call.
 const PackedRecords& PackRecordsAfter(PackedContents& packed,
                                       const Registry& registry,
-                                      std::uint64_t change, std::size_t most,
-                                      TimePoint now);
+                                      std::uint64_t change,
+                                      std::size_t max_records, TimePoint now);
 
-/// Puts the contents back where an update without packing has them. False when
-/// they can't be read; the update then holds none.
-bool Unpack(wire::Update& update);
+/// Decodes the packed fields of an update into its routes and records and
+/// clears the packed fields. Returns false when a field cannot be decoded; all
+/// routes and records are then removed from the update.
+bool UnpackUpdate(wire::Update& update);
 
 }  // namespace filbertwall
--- a/Source/Distribution/RouteHistory.h
+++ b/Source/Distribution/RouteHistory.h
@@ -7,26 +7,30 @@
 #include "Rules/Rules.h"
 #include "Wire/distribution.pb.h"
 
-/// The routes of the last few versions, to send only what changed.
+/// Routes of the most recent rules versions, from which incremental updates are
+/// computed.
 ///
 /// Plain state and pure functions; not thread safe.
 namespace filbertwall {
 
-/// The routes of one version, serialized, by address.
+/// The serialized routes of one rules version.
 struct RouteSet {
+  /// By IP address and port; the key is `ip << 16 | port`.
   std::map<std::uint64_t, std::string> routes;
 };
 
 struct RouteHistory {
+  /// By rules version.
   std::map<std::uint64_t, RouteSet> versions;
 };
 
-/// Adds the routes of a version and forgets the oldest beyond the limit.
+/// Adds the routes of a rules version and removes the oldest versions, so that
+/// at most 12 remain.
 void AddVersion(RouteHistory& history, const Rules& rules);
 
-/// What an instance with `base` lacks to have the newest version: the
-/// difference when `base` is remembered, else every route. An empty message
-/// when it lacks nothing.
+/// Returns the update from version `base` to the newest version: the difference
+/// when the history contains `base`, otherwise every route. The message is
+/// empty when `base` is the newest version or later.
 wire::RoutesUpdate RoutesSince(const RouteHistory& history, std::uint64_t base);
 
 }  // namespace filbertwall
--- a/Source/Fleet/Fleet.cc
+++ b/Source/Fleet/Fleet.cc
@@ -4,11 +4,11 @@
 
 namespace filbertwall {
 
-void NoteContents(RegistryPosition& position, const wire::Update& update) {
+void AdvancePosition(RegistryPosition& position, const wire::Update& update) {
   if (update.registry_epoch() == position.epoch) {
-    const bool follows = update.registry_from() <= position.change;
-    // Updates may overtake each other.
-    position.change = follows
+    const bool contiguous = update.registry_from() <= position.change;
+    // Updates may arrive out of order, so the position never moves back.
+    position.change = contiguous
                           ? std::max(position.change, update.registry_change())
                           : position.change;
   } else if (update.registry_from() == 0) {
@@ -17,7 +17,7 @@
   }
 }
 
-wire::Knowledge KnowledgeIn(const wire::Update& update) {
+wire::Knowledge ExtractKnowledge(const wire::Update& update) {
   wire::Knowledge knowledge;
   knowledge.set_voter(update.voter());
   knowledge.set_seq(update.seq());
--- a/Source/Fleet/ServerOutcomes.cc
+++ b/Source/Fleet/ServerOutcomes.cc
@@ -1,42 +1,44 @@
 #include <algorithm>
 
-#include "Fleet/ControlTurn.h"
+#include "Fleet/ControlContext.h"
 
-/// Which backend servers fail their callers: from what entry instances saw of
-/// their flows to a mark in the server's record.
+/// Marks backend servers as failing in their records, from the flow outcomes
+/// that entry instances report.
 namespace filbertwall {
 namespace {
 
-constexpr Milliseconds kJudgeInterval{250};
-/// Counts of servers that hardly fail are not passed on.
-constexpr double kLeastFailuresTold = 0.5;
+constexpr Milliseconds kEvaluationInterval{250};
+/// Outcomes of servers with fewer failures are not forwarded. The failures are
+/// those counted in the statistics here.
+constexpr double kMinForwardedFailures = 0.5;
 
-/// Each control instance hears only the entry instances that follow it; the
-/// others are told of servers that fail.
-void PassOn(ControlTurn& turn) {
-  ControlInstance& instance = turn.instance;
+/// Forwards the outcomes of servers with failures to the other control
+/// instances, since each receives outcomes only from the entry instances that
+/// subscribed to it.
+void ForwardOutcomes(ControlContext& context) {
+  ControlInstance& instance = context.instance;
   wire::FleetMessage message;
   wire::Outcomes& outcomes = *message.mutable_outcomes();
   outcomes.set_passed_on(true);
-  for (const auto& [id, outcome] : instance.outcomes.not_passed_on) {
+  for (const auto& [id, outcome] : instance.outcomes.to_forward) {
     const OutcomeCounts counts =
-        CountsOf(instance.outcomes.ledger, id, turn.now);
-    if (counts.failed >= kLeastFailuresTold) {
+        GetOutcomeCounts(instance.outcomes.stats, id, context.now);
+    if (counts.failed >= kMinForwardedFailures) {
       *outcomes.add_servers() = outcome;
     }
   }
-  instance.outcomes.not_passed_on.clear();
+  instance.outcomes.to_forward.clear();
   if (outcomes.servers().empty()) {
     return;
   }
   for (const InstanceAddress other :
-       OtherControlInstances(instance, turn.now)) {
-    turn.effects.emplace_back(SendMessage{.to = other, .message = message});
+       OtherControlInstances(instance, context.now)) {
+    context.effects.emplace_back(SendMessage{.to = other, .message = message});
   }
 }
 
-/// Ready servers by service.
-std::map<std::string, std::vector<std::string>> ServicesOf(
+/// Returns the ids of the ready servers that are not silent, by service.
+std::map<std::string, std::vector<std::string>> ReadyServersByService(
     const Registry& registry) {
   std::map<std::string, std::vector<std::string>> services;
   for (const auto& [id, server] : registry.servers) {
@@ -48,34 +50,38 @@
   return services;
 }
 
-void Mark(ControlTurn& turn, const std::string& id, bool failing) {
-  ControlInstance& instance = turn.instance;
+/// Sets or clears the failing mark of a server.
+void SetServerFailing(ControlContext& context, const std::string& id,
+                      bool failing) {
+  ControlInstance& instance = context.instance;
   SetFailing(instance.registry, id, failing);
-  const OutcomeCounts counts = CountsOf(instance.outcomes.ledger, id, turn.now);
-  Log(turn, EventId::kServerJudged,
+  const OutcomeCounts counts =
+      GetOutcomeCounts(instance.outcomes.stats, id, context.now);
+  Log(context, EventId::kServerFailingChanged,
       "server=" + id + " failing=" + std::to_string(failing) +
           " served=" + std::to_string(counts.served) +
           " failed=" + std::to_string(counts.failed),
       failing ? Severity::kWarning : Severity::kInfo);
-  PushSoon(turn);
+  SchedulePush(context);
 }
 
-void Judge(ControlTurn& turn) {
-  ControlInstance& instance = turn.instance;
+void EvaluateServers(ControlContext& context) {
+  ControlInstance& instance = context.instance;
   ServerOutcomes& outcomes = instance.outcomes;
   std::set<std::string> failing;
-  for (const auto& [service, servers] : ServicesOf(instance.registry)) {
-    failing.merge(
-        FindFailing(outcomes.ledger, servers, outcomes.failing, turn.now));
+  for (const auto& [service, servers] :
+       ReadyServersByService(instance.registry)) {
+    failing.merge(FindFailingServers(outcomes.stats, servers, outcomes.failing,
+                                     context.now));
   }
   for (const std::string& id : failing) {
     if (!outcomes.failing.contains(id)) {
-      Mark(turn, id, true);
+      SetServerFailing(context, id, true);
     }
   }
   for (const std::string& id : outcomes.failing) {
     if (!failing.contains(id)) {
-      Mark(turn, id, false);
+      SetServerFailing(context, id, false);
     }
   }
   outcomes.failing = std::move(failing);
@@ -83,41 +89,43 @@
 
 }  // namespace
 
-void HandleOutcomes(ControlTurn& turn, const wire::Outcomes& outcomes) {
-  ServerOutcomes& held = turn.instance.outcomes;
+void HandleOutcomes(ControlContext& context, const wire::Outcomes& outcomes) {
+  ServerOutcomes& state = context.instance.outcomes;
   for (const wire::ServerOutcome& outcome : outcomes.servers()) {
-    if (!turn.instance.registry.servers.contains(outcome.id())) {
-      continue;  // Forgotten here, or not heard of yet.
+    if (!context.instance.registry.servers.contains(outcome.id())) {
+      continue;  // Removed from the registry, or not yet known.
     }
-    AddOutcomes(held.ledger, outcome.id(), outcome.served(), outcome.failed(),
-                turn.now);
+    AddOutcomes(state.stats, outcome.id(), outcome.served(), outcome.failed(),
+                context.now);
     if (!outcomes.passed_on()) {
-      wire::ServerOutcome& sum = held.not_passed_on[outcome.id()];
+      wire::ServerOutcome& sum = state.to_forward[outcome.id()];
       sum.set_id(outcome.id());
       sum.set_served(sum.served() + outcome.served());
       sum.set_failed(sum.failed() + outcome.failed());
     }
   }
-  if (!held.ledger.servers.empty()) {
-    held.judge_at = std::min(held.judge_at, turn.now + kJudgeInterval);
+  if (!state.stats.servers.empty()) {
+    state.next_evaluation_at =
+        std::min(state.next_evaluation_at, context.now + kEvaluationInterval);
   }
 }
 
-void StepOutcomes(ControlTurn& turn) {
-  ServerOutcomes& outcomes = turn.instance.outcomes;
-  if (turn.now < outcomes.judge_at) {
+void ProcessOutcomes(ControlContext& context) {
+  ServerOutcomes& outcomes = context.instance.outcomes;
+  if (context.now < outcomes.next_evaluation_at) {
     return;
   }
-  PassOn(turn);
-  ForgetOutcomes(outcomes.ledger, turn.now);
-  const bool any_failed = std::any_of(
-      outcomes.ledger.servers.begin(), outcomes.ledger.servers.end(),
-      [](const auto& item) { return item.second.failed >= 1; });
+  ForwardOutcomes(context);
+  RemoveExpiredOutcomes(outcomes.stats, context.now);
+  const bool any_failed =
+      std::any_of(outcomes.stats.servers.begin(), outcomes.stats.servers.end(),
+                  [](const auto& item) { return item.second.failed >= 1; });
   if (any_failed || !outcomes.failing.empty()) {
-    Judge(turn);
+    EvaluateServers(context);
   }
-  outcomes.judge_at =
-      outcomes.ledger.servers.empty() ? kNever : turn.now + kJudgeInterval;
+  outcomes.next_evaluation_at = outcomes.stats.servers.empty()
+                                    ? kNever
+                                    : context.now + kEvaluationInterval;
 }
 
 }  // namespace filbertwall
--- a/Source/Fleet/Submissions.cc
+++ b/Source/Fleet/Submissions.cc
@@ -1,12 +1,13 @@
-#include "Fleet/ControlTurn.h"
+#include "Fleet/ControlContext.h"
 
-/// Rules files from the call that hands them over to their verdict.
+/// Handles submissions and reads of the rules file.
 namespace filbertwall {
 namespace {
 
-/// How long a submission waits for a leader before its caller tries elsewhere.
-constexpr Milliseconds kLeaderWait{700};
-constexpr std::size_t kMostWaiting = 64;
+/// How long a submission waits for a leader before it is answered as
+/// unavailable. The client then tries another instance.
+constexpr Milliseconds kLeaderTimeout{700};
+constexpr std::size_t kMaxPendingSubmissions = 64;
 
 AnswerCall Accepted(CallId call) {
   return AnswerCall{.call = call, .verdict = CallVerdict::kAccepted};
@@ -17,110 +18,115 @@
       .call = call, .verdict = CallVerdict::kUnavailable, .reason = reason};
 }
 
-/// Whether the file is answered by what is committed already.
-bool IsSettled(const ControlTurn& turn, const wire::RulesFile& file) {
-  return file.version() <= turn.instance.replica.committed.rules().version();
+/// Returns whether the committed version is at least as high as the file's.
+bool IsAlreadyCommitted(const ControlContext& context,
+                        const wire::RulesFile& file) {
+  return file.version() <= context.instance.replica.committed.rules().version();
 }
 
-/// Answers, redirects or proposes; false when there is no leader.
-bool TrySubmission(ControlTurn& turn, CallId call,
+/// Answers, redirects or proposes the submission. Returns false when no leader
+/// is known.
+bool TrySubmission(ControlContext& context, CallId call,
                    const wire::RulesFile& file) {
-  ControlInstance& instance = turn.instance;
-  if (IsSettled(turn, file)) {
-    Answer(turn, Accepted(call));
+  ControlInstance& instance = context.instance;
+  if (IsAlreadyCommitted(context, file)) {
+    Answer(context, Accepted(call));
     return true;
   }
   if (instance.replica.role == ReplicaRole::kLeader && !instance.disk_failed) {
     const std::uint64_t token = instance.next_token++;
-    instance.proposals[token] = Proposal{.call = call, .proposed_at = turn.now};
+    instance.proposals[token] =
+        Proposal{.call = call, .proposed_at = context.now};
     ControlSubmitted submitted{.token = token};
     *submitted.change.mutable_rules() = file;
-    RunReplica(turn, submitted);
+    RunReplica(context, submitted);
     return true;
   }
-  const InstanceAddress leader = KnownLeader(turn);
+  const InstanceAddress leader = RedirectTarget(context);
   if (leader == 0) {
     return false;
   }
-  Answer(turn, AnswerCall{.call = call,
-                          .verdict = CallVerdict::kRedirected,
-                          .leader = leader});
+  Answer(context, AnswerCall{.call = call,
+                             .verdict = CallVerdict::kRedirected,
+                             .leader = leader});
   return true;
 }
 
 }  // namespace
 
-void HandleSubmitted(ControlTurn& turn, const RulesSubmitted& event) {
-  ControlInstance& instance = turn.instance;
+void HandleSubmitted(ControlContext& context, const RulesSubmitted& event) {
+  ControlInstance& instance = context.instance;
   instance.counters.submissions += 1;
-  if (TrySubmission(turn, event.call, event.file)) {
+  if (TrySubmission(context, event.call, event.file)) {
     return;
   }
-  if (instance.submissions.size() >= kMostWaiting) {
-    Answer(turn, Unavailable(event.call, "too many submissions wait"));
+  if (instance.submissions.size() >= kMaxPendingSubmissions) {
+    Answer(context,
+           Unavailable(event.call, "too many submissions wait for a leader"));
     return;
   }
   instance.submissions.push_back(
-      WaitingSubmission{.call = event.call,
+      PendingSubmission{.call = event.call,
                         .file = event.file,
-                        .expires_at = turn.now + kLeaderWait});
+                        .expires_at = context.now + kLeaderTimeout});
 }
 
-void StepSubmissions(ControlTurn& turn) {
-  std::deque<WaitingSubmission> waiting;
-  waiting.swap(turn.instance.submissions);
-  for (WaitingSubmission& submission : waiting) {
-    if (TrySubmission(turn, submission.call, submission.file)) {
+void RetrySubmissions(ControlContext& context) {
+  std::deque<PendingSubmission> pending;
+  pending.swap(context.instance.submissions);
+  for (PendingSubmission& submission : pending) {
+    if (TrySubmission(context, submission.call, submission.file)) {
       continue;
     }
-    if (turn.now >= submission.expires_at) {
-      Answer(turn, Unavailable(submission.call, "no leader is known"));
+    if (context.now >= submission.expires_at) {
+      Answer(context, Unavailable(submission.call, "no leader is known"));
       continue;
     }
-    turn.instance.submissions.push_back(std::move(submission));
+    context.instance.submissions.push_back(std::move(submission));
   }
 }
 
-void HandleVerdict(ControlTurn& turn, const ControlVerdict& verdict) {
-  ControlInstance& instance = turn.instance;
+void HandleVerdict(ControlContext& context, const ControlVerdict& verdict) {
+  ControlInstance& instance = context.instance;
   const auto proposal = instance.proposals.find(verdict.token);
   if (proposal == instance.proposals.end()) {
     return;
   }
   const CallId call = proposal->second.call;
   instance.commit_time.Add(std::chrono::duration_cast<Microseconds>(
-      turn.now - proposal->second.proposed_at));
+      context.now - proposal->second.proposed_at));
   instance.proposals.erase(proposal);
-  // A file that is refused here was overtaken by a version at least as high, so
-  // there is nothing left to do for it.
+  // A file is refused only when a version at least as high was committed
+  // meanwhile, which is accepted like in `TrySubmission`.
   if (verdict.verdict == wire::UNKNOWN) {
-    Answer(turn, Unavailable(call, verdict.reason));
+    Answer(context, Unavailable(call, verdict.reason));
     return;
   }
-  Answer(turn, Accepted(call));
+  Answer(context, Accepted(call));
 }
 
-void HandleRead(ControlTurn& turn, const RulesRead& event) {
-  const ControlInstance& instance = turn.instance;
+void HandleRead(ControlContext& context, const RulesRead& event) {
+  const ControlInstance& instance = context.instance;
   const Replica& replica = instance.replica;
-  if (HasLease(replica, turn.now) && !instance.disk_failed) {
+  if (HasLease(replica, context.now) && !instance.disk_failed) {
     if (replica.committed.rules().version() == 0) {
-      Answer(turn, Unavailable(event.call, "no rules were accepted yet"));
+      Answer(context,
+             Unavailable(event.call, "no rules file has been accepted yet"));
       return;
     }
-    Answer(turn, AnswerCall{.call = event.call,
-                            .verdict = CallVerdict::kAccepted,
-                            .rules = replica.committed.rules()});
+    Answer(context, AnswerCall{.call = event.call,
+                               .verdict = CallVerdict::kAccepted,
+                               .rules = replica.committed.rules()});
     return;
   }
-  const InstanceAddress leader = KnownLeader(turn);
+  const InstanceAddress leader = RedirectTarget(context);
   if (leader == 0) {
-    Answer(turn, Unavailable(event.call, "no leader is known"));
+    Answer(context, Unavailable(event.call, "no leader is known"));
     return;
   }
-  Answer(turn, AnswerCall{.call = event.call,
-                          .verdict = CallVerdict::kRedirected,
-                          .leader = leader});
+  Answer(context, AnswerCall{.call = event.call,
+                             .verdict = CallVerdict::kRedirected,
+                             .leader = leader});
 }
 
 }  // namespace filbertwall
--- a/Source/Flows/FlowChoice.cc
+++ b/Source/Flows/FlowChoice.cc
@@ -5,14 +5,15 @@
 #include "Base/Hash.h"
 #include "Flows/FlowTier.h"
 
-/// Choices by hash: the owner of a flow, and the backend server of a new one.
+/// Hash-based selection of a flow's owner and of a new flow's backend server.
 namespace filbertwall {
 namespace {
 
-/// Weighted rendezvous hashing: the candidate with the highest score wins, and
-/// a change of one weight moves only the flows that it must.
-double Score(std::uint64_t flow_hash, const Endpoint& backend,
-             std::uint32_t weight) {
+/// Returns a candidate's score for weighted rendezvous hashing. The
+/// candidate with the highest score is preferred. A change of one weight moves
+/// the minimum number of flows.
+double RendezvousScore(std::uint64_t flow_hash, const Endpoint& backend,
+                       std::uint32_t weight) {
   const std::uint64_t identity =
       static_cast<std::uint64_t>(backend.ip) << 16 | backend.port;
   const std::uint64_t hash = MixHash(flow_hash, identity);
@@ -25,14 +26,15 @@
   const auto index = tier.backend_index.find(backend);
   const std::uint64_t flows = index == tier.backend_index.end()
                                   ? 0
-                                  : tier.flows_of_backend[index->second];
+                                  : tier.flows_per_backend[index->second];
   return static_cast<double>(flows) / std::max(weight, 1U);
 }
 
-/// As many as are asked about a flow that its owner does not know.
-constexpr std::size_t kMostOwners = 16;
+/// Limit on the result of `OwnersOf`. It also limits how many instances an
+/// owner queries about an unknown flow.
+constexpr std::size_t kMaxOwners = 16;
 
-/// The two best candidates of a flow.
+/// The two candidates with the highest scores for a flow.
 struct BestTwo {
   const Backend* first = nullptr;
   const Backend* second = nullptr;
@@ -45,8 +47,9 @@
   double first_score = -std::numeric_limits<double>::infinity();
   double second_score = first_score;
   for (const Backend* backend : candidates) {
-    const double score = Score(flow_hash, backend->address,
-                               WeightOf(rules, service, backend->address));
+    const double score =
+        RendezvousScore(flow_hash, backend->address,
+                        GetBackendWeight(rules, service, backend->address));
     if (score > first_score) {
       best.second = best.first;
       second_score = first_score;
@@ -73,7 +76,7 @@
       ranked.emplace_back(MixHash(hash, instance), instance);
     }
   }
-  const std::size_t kept = std::min(ranked.size(), kMostOwners);
+  const std::size_t kept = std::min(ranked.size(), kMaxOwners);
   std::partial_sort(ranked.begin(),
                     ranked.begin() + static_cast<std::ptrdiff_t>(kept),
                     ranked.end(), std::greater<>());
@@ -86,14 +89,14 @@
   return owners;
 }
 
-std::optional<Endpoint> ChooseForFlow(const FlowTier& tier,
-                                      const FlowContext& context,
-                                      const ServiceRule& service,
-                                      const FlowKey& key) {
-  const std::vector<const Backend*> candidates = CandidatesFor(
-      context.directory, context.rules, service.name, context.now);
+std::optional<Endpoint> ChooseFlowBackend(const FlowTier& tier,
+                                          const FlowEnvironment& environment,
+                                          const ServiceRule& service,
+                                          const FlowKey& key) {
+  const std::vector<const Backend*> candidates = FindCandidates(
+      environment.directory, environment.rules, service.name, environment.now);
   const BestTwo best =
-      FindBestTwo(candidates, context.rules, service.name, HashFlow(key));
+      FindBestTwo(candidates, environment.rules, service.name, HashFlow(key));
   if (best.first == nullptr) {
     return std::nullopt;
   }
@@ -103,7 +106,7 @@
   const auto load = [&](const Backend* backend) {
     return FlowsPerWeight(
         tier, backend->address,
-        WeightOf(context.rules, service.name, backend->address));
+        GetBackendWeight(environment.rules, service.name, backend->address));
   };
   return load(best.second) < load(best.first) ? best.second->address
                                               : best.first->address;
--- a/Source/Flows/FlowOwner.cc
+++ b/Source/Flows/FlowOwner.cc
@@ -1,28 +1,31 @@
 #include <algorithm>
 
 #include "Base/Hash.h"
-#include "Flows/FlowTurn.h"
+#include "Flows/FlowContext.h"
 
-/// The owner's part: opening flows, asking others, telling others.
+/// The owner's tasks: opening flows, querying other instances, and replication.
 namespace filbertwall {
 namespace {
 
-constexpr Milliseconds kAnswerLimit{100};
-constexpr std::size_t kMostPending = 4096;
-constexpr std::uint8_t kMessageMark = 0xFB;  // No Geneve version starts so.
+/// Time to wait for all replies to a query.
+constexpr Milliseconds kQueryTimeout{100};
+constexpr std::size_t kMaxPending = 4096;
+/// First byte of a message between instances. Geneve packets of version 0 never
+/// start with it.
+constexpr std::uint8_t kMessageMagic = 0xFB;
 constexpr int kRecordsPerMessage = 30;
 
-std::uint32_t BackendIndex(FlowTier& tier, const Endpoint& backend) {
+std::uint32_t InternBackend(FlowTier& tier, const Endpoint& backend) {
   const auto [item, added] = tier.backend_index.emplace(
       backend, static_cast<std::uint32_t>(tier.backends.size()));
   if (added) {
     tier.backends.push_back(backend);
-    tier.flows_of_backend.push_back(0);
+    tier.flows_per_backend.push_back(0);
   }
   return item->second;
 }
 
-std::uint16_t ServiceIndex(FlowTier& tier, const std::string& service) {
+std::uint16_t InternServiceName(FlowTier& tier, const std::string& service) {
   const auto [item, added] = tier.service_index.emplace(
       service, static_cast<std::uint16_t>(tier.services.size()));
   if (added) {
@@ -31,154 +34,162 @@
   return item->second;
 }
 
-/// Frees a place by ending the oldest flow of which only a SYN was seen.
-bool EvictUnproven(FlowTurn& turn) {
-  FlowTier& tier = turn.tier;
-  while (!tier.unproven.empty()) {
-    FlowEntry* entry = FindFlow(tier.table, tier.unproven.front());
-    tier.unproven.pop_front();
-    if (entry != nullptr && (entry->flags & kFlowProven) == 0) {
-      Count(turn, "unproven_evicted");
-      DropFlow(turn, entry);
+/// Removes the oldest half-open flow to make room for another flow. Returns
+/// false when there is none.
+bool EvictHalfOpen(FlowContext& context) {
+  FlowTier& tier = context.tier;
+  while (!tier.half_open.empty()) {
+    FlowEntry* entry = FindFlow(tier.table, tier.half_open.front());
+    tier.half_open.pop_front();
+    if (entry != nullptr && (entry->flags & kFlowEstablished) == 0) {
+      Count(context, "unproven_evicted");
+      RemoveFlow(context, entry);
       return true;
     }
   }
   return false;
 }
 
-/// Null when the table is full of open flows, which win over new ones.
-FlowEntry* AddFlow(FlowTurn& turn, const FlowKey& key,
+/// Adds a flow. Returns null when the table is full of established flows, which
+/// take precedence over new ones.
+FlowEntry* AddFlow(FlowContext& context, const FlowKey& key,
                    const std::string& service, const Endpoint& backend,
-                   bool proven) {
-  FlowTier& tier = turn.tier;
-  if (tier.table.size >= tier.limit && !EvictUnproven(turn)) {
-    Count(turn, "table_full");
+                   bool established) {
+  FlowTier& tier = context.tier;
+  if (tier.table.size >= tier.limit && !EvictHalfOpen(context)) {
+    Count(context, "table_full");
     return nullptr;
   }
   FlowEntry& entry = InsertFlow(tier.table, key);
-  entry.service = ServiceIndex(tier, service);
-  entry.backend = BackendIndex(tier, backend);
-  entry.last_seen = turn.now_seconds;
+  entry.service = InternServiceName(tier, service);
+  entry.backend = InternBackend(tier, backend);
+  entry.last_seen = context.now_seconds;
   entry.generation =
-      static_cast<std::uint16_t>(turn.context.directory.generation);
-  tier.flows_of_backend[entry.backend] += 1;
-  if (proven) {
-    entry.flags = kFlowProven;
+      static_cast<std::uint16_t>(context.environment.directory.generation);
+  tier.flows_per_backend[entry.backend] += 1;
+  if (established) {
+    entry.flags = kFlowEstablished;
   } else {
-    tier.unproven.push_back(key);
+    tier.half_open.push_back(key);
   }
   return &entry;
 }
 
-void Forward(FlowTurn& turn, const UnknownPacket& packet,
+void Forward(FlowContext& context, const UnknownPacket& packet,
              const FlowEntry& entry) {
   SetNetworkIdentifier(packet.datagram->bytes,
                        NetworkIdentifierOf(packet.service->name));
-  turn.effects.forwarded.push_back(
-      {.index = packet.index, .to = turn.tier.backends[entry.backend]});
+  context.effects.forwarded.push_back(
+      {.index = packet.index, .to = context.tier.backends[entry.backend]});
 }
 
-/// Opens a flow as its owner, and has the next in rank hold it too.
-void OpenFlow(FlowTurn& turn, const UnknownPacket& packet,
-              std::uint32_t backup) {
-  const auto backend =
-      ChooseForFlow(turn.tier, turn.context, *packet.service, packet.info.key);
+/// Opens a flow on its owner and forwards the packet. Sends the flow's record
+/// to the backup, if not 0, and to the instance that relayed the packet.
+void OpenAsOwner(FlowContext& context, const UnknownPacket& packet,
+                 std::uint32_t backup) {
+  const auto backend = ChooseFlowBackend(context.tier, context.environment,
+                                         *packet.service, packet.info.key);
   if (!backend) {
-    Count(turn, "no_backend");
+    Count(context, "no_backend");
     return;
   }
-  const bool proven = !packet.info.tcp;
-  const FlowEntry* entry =
-      AddFlow(turn, packet.info.key, packet.service->name, *backend, proven);
+  const bool established = !packet.info.tcp;
+  const FlowEntry* entry = AddFlow(context, packet.info.key,
+                                   packet.service->name, *backend, established);
   if (entry == nullptr) {
     return;
   }
-  Count(turn, "opened");
-  Forward(turn, packet, *entry);
+  Count(context, "opened");
+  Forward(context, packet, *entry);
   if (backup != 0) {
-    TellFlow(turn, backup, *entry);
+    QueueFlowRecord(context, backup, *entry);
   }
-  if (packet.handed_by != 0 && packet.handed_by != backup) {
-    TellFlow(turn, packet.handed_by, *entry);
+  if (packet.relayed_by != 0 && packet.relayed_by != backup) {
+    QueueFlowRecord(context, packet.relayed_by, *entry);
   }
 }
 
-/// Asks all others for a flow that someone else must have opened.
-void AskOthers(FlowTurn& turn, const UnknownPacket& packet,
-               const std::vector<std::uint32_t>& owners) {
-  FlowTier& tier = turn.tier;
+/// Queries the other instances about a flow that one of them must have opened.
+void QueryOtherInstances(FlowContext& context, const UnknownPacket& packet,
+                         const std::vector<std::uint32_t>& owners) {
+  FlowTier& tier = context.tier;
   if (tier.pending.contains(packet.info.key) ||
-      tier.pending.size() >= kMostPending) {
-    Count(turn, "dropped_while_asking");
+      tier.pending.size() >= kMaxPending) {
+    Count(context, "dropped_while_asking");
     return;
   }
   PendingFlow& pending = tier.pending[packet.info.key];
   pending.packet.assign(packet.datagram->bytes.begin(),
                         packet.datagram->bytes.end());
   pending.info = packet.info;
-  pending.handed_by = packet.handed_by;
-  pending.expires_at = turn.context.now + kAnswerLimit;
+  pending.relayed_by = packet.relayed_by;
+  pending.expires_at = context.environment.now + kQueryTimeout;
   for (const std::uint32_t instance : owners) {
     if (instance != tier.self) {
       pending.unanswered.insert(instance);
-      turn.messages[instance].add_wanted(EncodeFlowKey(packet.info.key));
+      context.messages[instance].add_wanted(EncodeFlowKey(packet.info.key));
     }
   }
-  Count(turn, "asked");
+  Count(context, "asked");
 }
 
-/// Sends a waiting packet on, by the record found or by the default choice.
-void EndPending(FlowTurn& turn, const FlowKey& key) {
-  const auto found = turn.tier.pending.find(key);
-  if (found == turn.tier.pending.end()) {
+/// Forwards the packet that waits for replies about the flow, if there is one.
+/// It goes to the backend server that another instance reported, or, if none
+/// did, to the one that a new flow would get.
+void ResolvePending(FlowContext& context, const FlowKey& key) {
+  const auto found = context.tier.pending.find(key);
+  if (found == context.tier.pending.end()) {
     return;
   }
   PendingFlow pending = std::move(found->second);
-  turn.tier.pending.erase(found);
-  const auto address = turn.context.rules.addresses.find(key.destination);
-  if (address == turn.context.rules.addresses.end()) {
+  context.tier.pending.erase(found);
+  const auto address =
+      context.environment.rules.addresses.find(key.destination);
+  if (address == context.environment.rules.addresses.end()) {
     return;
   }
   const ServiceRule& service =
-      turn.context.rules.services.at(address->second.service);
-  FlowEntry* entry = FindFlow(turn.tier.table, key);
+      context.environment.rules.services.at(address->second.service);
+  FlowEntry* entry = FindFlow(context.tier.table, key);
   if (entry == nullptr) {
-    const auto backend = ChooseForFlow(turn.tier, turn.context, service, key);
+    const auto backend =
+        ChooseFlowBackend(context.tier, context.environment, service, key);
     if (!backend) {
-      Count(turn, "no_backend");
+      Count(context, "no_backend");
       return;
     }
-    Count(turn, "adopted_unknown");
-    entry = AddFlow(turn, key, service.name, *backend, true);
+    Count(context, "adopted_unknown");
+    entry = AddFlow(context, key, service.name, *backend, true);
   }
   if (entry == nullptr) {
     return;
   }
-  if (!StillServes(turn, *entry, service)) {
-    Count(turn, "service_changed");
-    DropFlow(turn, entry);
+  if (!StillServes(context, *entry, service)) {
+    Count(context, "service_changed");
+    RemoveFlow(context, entry);
     return;
   }
   SetNetworkIdentifier(pending.packet, NetworkIdentifierOf(service.name));
-  turn.effects.datagrams.push_back({.to = turn.tier.backends[entry->backend],
-                                    .bytes = std::move(pending.packet)});
-  if (pending.handed_by != 0) {
-    TellFlow(turn, pending.handed_by, *entry);
+  context.effects.datagrams.push_back(
+      {.to = context.tier.backends[entry->backend],
+       .bytes = std::move(pending.packet)});
+  if (pending.relayed_by != 0) {
+    QueueFlowRecord(context, pending.relayed_by, *entry);
   }
 }
 
-void TakeRecord(FlowTurn& turn, std::uint32_t from,
-                const wire::FlowRecord& record) {
+void HandleFlowRecord(FlowContext& context, std::uint32_t from,
+                      const wire::FlowRecord& record) {
   const auto key = DecodeFlowKey(record.key());
   if (!key) {
     return;
   }
-  const auto pending = turn.tier.pending.find(*key);
-  if (record.backend_port() == 0) {  // The other does not know it either.
-    if (pending != turn.tier.pending.end()) {
+  const auto pending = context.tier.pending.find(*key);
+  if (record.backend_port() == 0) {  // The other instance has no entry either.
+    if (pending != context.tier.pending.end()) {
       pending->second.unanswered.erase(from);
       if (pending->second.unanswered.empty()) {
-        EndPending(turn, *key);
+        ResolvePending(context, *key);
       }
     }
     return;
@@ -186,146 +197,150 @@
   const Endpoint backend{
       .ip = record.backend_ip(),
       .port = static_cast<std::uint16_t>(record.backend_port())};
-  FlowEntry* held = FindFlow(turn.tier.table, *key);
-  if (held != nullptr) {
-    held->last_seen = turn.now_seconds;
-    held->flags |= kFlowProven;
+  FlowEntry* known = FindFlow(context.tier.table, *key);
+  if (known != nullptr) {
+    known->last_seen = context.now_seconds;
+    known->flags |= kFlowEstablished;
   } else {
-    FlowEntry* entry = AddFlow(turn, *key, record.service(), backend, true);
+    FlowEntry* entry = AddFlow(context, *key, record.service(), backend, true);
     if (entry != nullptr) {
-      entry->generation -= 1;  // Validated before its first use.
+      entry->generation -= 1;  // Makes `FindValidFlow` call `StillServes`.
     }
   }
-  EndPending(turn, *key);
+  ResolvePending(context, *key);
 }
 
-void AnswerWanted(FlowTurn& turn, std::uint32_t to, const std::string& bytes) {
+void AnswerQuery(FlowContext& context, std::uint32_t to,
+                 const std::string& bytes) {
   const auto key = DecodeFlowKey(bytes);
-  const FlowEntry* entry = key ? FindFlow(turn.tier.table, *key) : nullptr;
+  const FlowEntry* entry = key ? FindFlow(context.tier.table, *key) : nullptr;
   if (entry != nullptr) {
-    TellFlow(turn, to, *entry);
+    QueueFlowRecord(context, to, *entry);
     return;
   }
-  turn.messages[to].add_records()->set_key(bytes);
+  context.messages[to].add_records()->set_key(bytes);
 }
 
-void AppendDatagram(FlowTurn& turn, std::uint32_t to,
+void AppendDatagram(FlowContext& context, std::uint32_t to,
                     const wire::FlowMessage& message) {
-  FlowDatagram datagram{.to = turn.tier.packet_addresses.at(to)};
+  FlowDatagram datagram{.to = context.tier.packet_addresses.at(to)};
   datagram.bytes.resize(1 + message.ByteSizeLong());
-  datagram.bytes[0] = kMessageMark;
+  datagram.bytes[0] = kMessageMagic;
   message.SerializeToArray(datagram.bytes.data() + 1,
                            static_cast<int>(datagram.bytes.size() - 1));
-  turn.effects.datagrams.push_back(std::move(datagram));
+  context.effects.datagrams.push_back(std::move(datagram));
 }
 
 }  // namespace
 
-void HandleMiss(FlowTurn& turn, const UnknownPacket& packet) {
+void HandleUnknownPacket(FlowContext& context, const UnknownPacket& packet) {
   const std::vector<std::uint32_t> owners =
-      OwnersOf(turn.tier, turn.context.silent, packet.info.key);
-  // A packet that was handed here stays here, whatever this instance thinks
-  // of the others, so that two views can't pass it round and round.
-  const bool hand_on = packet.handed_by == 0 && owners[0] != turn.tier.self;
-  if (hand_on) {
-    Count(turn, "handed_to_owner");
-    turn.effects.forwarded.push_back(
+      OwnersOf(context.tier, context.environment.silent, packet.info.key);
+  // A relayed packet is never relayed again, even if this instance ranks
+  // another one as the owner, so that different views of the live instances
+  // can't cause a forwarding loop.
+  const bool relay_to_owner =
+      packet.relayed_by == 0 && owners[0] != context.tier.self;
+  if (relay_to_owner) {
+    Count(context, "handed_to_owner");
+    context.effects.forwarded.push_back(
         {.index = packet.index,
-         .to = turn.tier.packet_addresses.at(owners[0])});
+         .to = context.tier.packet_addresses.at(owners[0])});
     return;
   }
-  const bool opens = packet.info.syn || !packet.info.tcp;
+  const bool opens_flow = packet.info.syn || !packet.info.tcp;
   const bool alone = owners.size() == 1;
-  if (packet.info.syn || (opens && alone)) {
+  if (packet.info.syn || (opens_flow && alone)) {
     const auto backup =
         std::find_if(owners.begin(), owners.end(),
-                     [&](std::uint32_t id) { return id != turn.tier.self; });
-    OpenFlow(turn, packet, backup == owners.end() ? 0 : *backup);
+                     [&](std::uint32_t id) { return id != context.tier.self; });
+    OpenAsOwner(context, packet, backup == owners.end() ? 0 : *backup);
     return;
   }
   if (alone) {
-    Count(turn, "adopted_unknown");
-    OpenFlow(turn, packet, 0);
+    Count(context, "adopted_unknown");
+    OpenAsOwner(context, packet, 0);
     return;
   }
-  AskOthers(turn, packet, owners);
+  QueryOtherInstances(context, packet, owners);
 }
 
-void ExpirePending(FlowTurn& turn) {
+void ExpirePending(FlowContext& context) {
   std::vector<FlowKey> expired;
-  for (const auto& [key, pending] : turn.tier.pending) {
-    if (turn.context.now >= pending.expires_at) {
+  for (const auto& [key, pending] : context.tier.pending) {
+    if (context.environment.now >= pending.expires_at) {
       expired.push_back(key);
     }
   }
   for (const FlowKey& key : expired) {
-    EndPending(turn, key);
+    ResolvePending(context, key);
   }
 }
 
-void HandOverFlows(FlowTurn& turn) {
-  for (const FlowEntry& entry : turn.tier.table.slots) {
+void HandOverFlows(FlowContext& context) {
+  for (const FlowEntry& entry : context.tier.table.slots) {
     if (entry.protocol == 0) {
       continue;
     }
-    TellOwners(turn, entry);
+    ReplicateToOwners(context, entry);
   }
 }
 
-void TellOwners(FlowTurn& turn, const FlowEntry& entry) {
-  constexpr int kHolders = 2;  // the owner and the next in rank
-  int told = 0;
+void ReplicateToOwners(FlowContext& context, const FlowEntry& entry) {
+  constexpr int kReplicas = 2;  // The owner and the backup.
+  int replicas = 0;
   for (const std::uint32_t instance :
-       OwnersOf(turn.tier, turn.context.silent, KeyOf(entry))) {
-    if (instance != turn.tier.self && told < kHolders) {
-      TellFlow(turn, instance, entry);
-      told += 1;
+       OwnersOf(context.tier, context.environment.silent, KeyOf(entry))) {
+    if (instance != context.tier.self && replicas < kReplicas) {
+      QueueFlowRecord(context, instance, entry);
+      replicas += 1;
     }
   }
 }
 
-void TellFlow(FlowTurn& turn, std::uint32_t to, const FlowEntry& entry) {
-  wire::FlowRecord& record = *turn.messages[to].add_records();
-  const Endpoint& backend = turn.tier.backends[entry.backend];
+void QueueFlowRecord(FlowContext& context, std::uint32_t to,
+                     const FlowEntry& entry) {
+  wire::FlowRecord& record = *context.messages[to].add_records();
+  const Endpoint& backend = context.tier.backends[entry.backend];
   record.set_key(EncodeFlowKey(KeyOf(entry)));
   record.set_backend_ip(backend.ip);
   record.set_backend_port(backend.port);
-  record.set_service(turn.tier.services[entry.service]);
+  record.set_service(context.tier.services[entry.service]);
 }
 
 bool IsFlowMessage(std::span<const std::uint8_t> bytes) {
-  return !bytes.empty() && bytes[0] == kMessageMark;
+  return !bytes.empty() && bytes[0] == kMessageMagic;
 }
 
-void HandleFlowMessage(FlowTurn& turn, std::uint32_t from,
+void HandleFlowMessage(FlowContext& context, std::uint32_t from,
                        std::span<const std::uint8_t> bytes) {
   wire::FlowMessage message;
   if (!message.ParseFromArray(bytes.data() + 1,
                               static_cast<int>(bytes.size() - 1))) {
-    Count(turn, "malformed");
+    Count(context, "malformed");
     return;
   }
   for (const wire::FlowRecord& record : message.records()) {
-    TakeRecord(turn, from, record);
+    HandleFlowRecord(context, from, record);
   }
   for (const std::string& wanted : message.wanted()) {
-    AnswerWanted(turn, from, wanted);
+    AnswerQuery(context, from, wanted);
   }
 }
 
-void SendFlowMessages(FlowTurn& turn) {
-  for (const auto& [to, message] : turn.messages) {
+void SendFlowMessages(FlowContext& context) {
+  for (const auto& [to, message] : context.messages) {
     wire::FlowMessage part;
     *part.mutable_wanted() = message.wanted();
     for (const wire::FlowRecord& record : message.records()) {
       *part.add_records() = record;
       if (part.records_size() == kRecordsPerMessage) {
-        AppendDatagram(turn, to, part);
+        AppendDatagram(context, to, part);
         part.Clear();
       }
     }
     if (part.records_size() + part.wanted_size() > 0) {
-      AppendDatagram(turn, to, part);
+      AppendDatagram(context, to, part);
     }
   }
 }
--- a/Source/Forwarding/FlowOutcomes.cc
+++ b/Source/Forwarding/FlowOutcomes.cc
@@ -5,28 +5,31 @@
 namespace filbertwall {
 namespace {
 
-constexpr double kLengthWeight = 0.05;
-/// An answer shorter than this part of the usual length is an error.
-constexpr double kShortAnswer = 0.25;
-/// One long answer moves the usual length no more than one of so many times it.
-constexpr double kMostTimesUsual = 8;
+/// Weight of a new answer in the moving average.
+constexpr double kAverageWeight = 0.05;
+/// A flow fails when its answer is shorter than this fraction of the average.
+constexpr double kShortAnswerRatio = 0.25;
+/// Answer lengths are capped at this multiple of the average before they are
+/// averaged, to limit the effect of a single long answer.
+constexpr double kMaxRatioToAverage = 8;
 
 }  // namespace
 
-bool NoteAnswer(FlowOutcomes& outcomes, RouteKey address, ServerIndex server,
-                std::uint32_t length) {
-  double& usual = outcomes.usual_length[address];
-  const bool is_short = length < usual * kShortAnswer;
-  const double measured =
-      usual == 0 ? length : std::min<double>(length, usual * kMostTimesUsual);
-  usual += (usual == 0 ? 1 : kLengthWeight) * (measured - usual);
-  OutcomeDelta& delta = outcomes.untold[server];
+bool RecordClosedFlow(FlowOutcomes& outcomes, RouteKey address,
+                      ServerIndex server, std::uint32_t length) {
+  double& average = outcomes.average_length[address];
+  const bool is_short = length < average * kShortAnswerRatio;
+  const double capped_length =
+      average == 0 ? length
+                   : std::min<double>(length, average * kMaxRatioToAverage);
+  average += (average == 0 ? 1 : kAverageWeight) * (capped_length - average);
+  OutcomeDelta& delta = outcomes.unreported[server];
   (is_short ? delta.failed : delta.served) += 1;
   return !is_short;
 }
 
-void NoteFailure(FlowOutcomes& outcomes, ServerIndex server) {
-  outcomes.untold[server].failed += 1;
+void RecordFailure(FlowOutcomes& outcomes, ServerIndex server) {
+  outcomes.unreported[server].failed += 1;
 }
 
 }  // namespace filbertwall
--- a/Source/Forwarding/Forwarder.h
+++ b/Source/Forwarding/Forwarder.h
@@ -15,56 +15,65 @@
 #include "Forwarding/RouteTable.h"
 #include "Placement/Placement.h"
 
-/// Forwarding by a token that each packet carries.
+/// Stateless forwarding by a token that each packet carries.
 ///
-/// The first packet of a flow chooses the backend server. Server and caller
-/// then repeat the token in each packet, so every instance can forward any
-/// later packet without a record of the flow. What is kept of flows here
-/// serves placement only, and may be lost. Not thread safe.
+/// The backend server is chosen when the first packet of a flow arrives. Server
+/// and caller then include the server's token in each packet, so every instance
+/// can forward any later packet without a record of the flow. `flows` is used
+/// only for placement, admission and outcome counts, and may be lost.
+/// Not thread safe.
 namespace filbertwall {
 
 enum class Verdict {
   kForward,
   kReset,
   kDrop,
-  kHold,  ///< Keep the packet until this instance serves, by `HoldOpening`.
+  kHold,  ///< To be stored with `HoldOpening` until this instance serves.
 };
 
-/// Why a packet was not forwarded, or where a new flow goes.
+/// Why a packet was forwarded, dropped or reset.
 enum class ForwardReason {
   kToken,         ///< Forwarded by its token.
   kPlaced,        ///< A new flow was placed.
-  kPlacedAgain,   ///< Its first server did not answer.
-  kNoRoute,       ///< No rule for the address.
-  kRouteDropped,  ///< The rules in force have dropped the address.
-  kUnknownToken,  ///< No server with this token is known.
-  kNoServer,      ///< The service has no server that may take it.
-  kOverload,      ///< Its answer would come too late.
-  kNotServing,    ///< This instance does not know the newest rules yet.
-  kStale,         ///< It waited while this instance stood still.
+  kPlacedAgain,   ///< Placed again: the first server did not answer.
+  kNoRoute,       ///< No route for the address.
+  kRouteDropped,  ///< The route of the address was removed.
+  kUnknownToken,  ///< No known server has this token.
+  kNoServer,      ///< The service has no usable server.
+  kOverload,      ///< The answer would miss the latency objective.
+  kNotServing,    ///< This instance has not loaded the newest rules yet.
+  kStale,         ///< See `Forwarder::discard_openings_until`.
 };
 
 struct Decision {
   Verdict verdict = Verdict::kDrop;
   ForwardReason reason = ForwardReason::kNoRoute;
-  ServerIndex server = 0;  ///< With kForward.
+  ServerIndex server = 0;  ///< Valid with kForward.
 };
 
 /// A flow that was opened through this instance and has not ended.
 struct OpenFlow {
   ServerIndex server = 0;
-  ServiceIndex service = 0;  ///< The server's, when the flow was opened.
+  /// The server's service when the flow was opened. The server may restart with
+  /// another service before the flow ends.
+  ServiceIndex service = 0;
   TimePoint opened_at;
-  TimePoint due_at;  ///< Not ended by then, it counts as failed.
-  TimePoint expires_at;
-  std::uint32_t received_at_first = 0;  ///< Before the answer.
-  std::uint32_t received = 0;           ///< The furthest so far.
-  bool length_known = true;   ///< Its sequence numbers are of one answer.
+  TimePoint fails_at;    ///< The flow fails if it is still open then.
+  TimePoint expires_at;  ///< The entry is removed then.
+  /// Acknowledgement number of the first packet after the opening one. The
+  /// answer's length is counted from here.
+  std::uint32_t first_ack_number = 0;
+  std::uint32_t ack_number = 0;  ///< Highest acknowledgement number so far.
+  /// False when two servers have answered copies of the opening packet. Their
+  /// sequence numbers differ, so the answer's length is unknown.
+  bool length_valid = true;
   bool answered = false;      ///< The server has accepted the flow.
-  bool overdue = false;       ///< It did not end by `due_at`.
-  Milliseconds objective{0};  ///< 0: none.
+  bool overdue = false;       ///< Still open at `fails_at`.
+  Milliseconds objective{0};  ///< Latency objective; 0: none.
 };
 
+/// Numbers of packets by decision, and of flows. Held and stale packets, and
+/// copies of an opening packet that a server has accepted, are not counted.
 struct ForwarderCounters {
   std::uint64_t forwarded = 0;
   std::uint64_t placed = 0;
@@ -73,33 +82,38 @@
   std::uint64_t unknown_token = 0;
   std::uint64_t no_server = 0;
   std::uint64_t overload = 0;
-  std::uint64_t expired = 0;
+  std::uint64_t expired = 0;  ///< Flows removed at `expires_at`.
 };
 
 struct Forwarder {
   Placement placement;
   RouteTable routes;
   bool serving = false;
-  /// Opening packets are dropped until then: they waited while this instance
-  /// stood still, and their callers have opened the flow elsewhere since.
+  /// Opening packets that arrive before this time are dropped. It is set after
+  /// this process was paused: such packets were queued during the pause, and
+  /// their callers have since opened the flow through another instance.
   TimePoint discard_openings_until;
-  HeldOpenings held;  ///< While this instance does not serve yet.
-  std::size_t flow_limit = 100000;
+  HeldOpenings held;                ///< Stored until this instance serves.
+  std::size_t flow_limit = 100000;  ///< Flows beyond it are not tracked.
   std::unordered_map<FlowKey, OpenFlow, FlowKeyHash> flows;
-  /// Flows by the time at which they are looked at again.
-  std::multimap<TimePoint, FlowKey> expiries;
+  /// Flows by their next `fails_at` or `expires_at`.
+  std::multimap<TimePoint, FlowKey> timers;
   FlowOutcomes outcomes;
   Admission admission;
+  /// Whether new flows are reset when admission control refuses them.
   bool refuses_overload = true;
   ForwarderCounters counters;
-  Histogram first_answer;  ///< From an opening packet to its follow-up.
+  /// Time from a flow's opening packet to the caller's next packet, in
+  /// microseconds.
+  Histogram first_answer;
 };
 
-/// Decides on one packet. Precondition: `now` never goes back.
+/// Decides what to do with a packet. Precondition: `now` never decreases.
 Decision DecidePacket(Forwarder& forwarder, const FlowPacket& packet,
                       TimePoint now);
 
-/// Ends what is kept of flows whose time is over.
+/// Marks flows that are past `fails_at` as failed, and removes flows that are
+/// past `expires_at`.
 void ExpireFlows(Forwarder& forwarder, TimePoint now);
 
 }  // namespace filbertwall
--- a/Source/Node/NodeRules.cc
+++ b/Source/Node/NodeRules.cc
@@ -1,17 +1,20 @@
-#include "Node/NodeTurn.h"
+#include "Node/NodeContext.h"
 #include "Rules/RulesParser.h"
 
-/// Rules in force at this instance: taken in rising order, never back.
+/// Rules in force at this instance. Their version only increases.
 namespace filbertwall {
 namespace {
 
-/// Whether what `peer` says was said after this process started.
+/// Whether the last hello of `peer` was sent after this process started: it
+/// repeats this incarnation.
 bool HeardSinceStart(const Node& node, const Peer& peer) {
   return peer.heard && peer.hello.heard_incarnation() == node.incarnation;
 }
 
-/// The version that rules here must have reached before they are served. Empty
-/// while it can't be known.
+/// Returns the lowest rules version that may be served: that of a leader with
+/// a lease, or the highest one in force or pending at the voters heard from,
+/// once these are a majority of the control instances. Returns nothing while
+/// neither is known.
 std::optional<std::uint64_t> RequiredVersion(const Node& node, TimePoint now) {
   if (node.has_replica && HasLease(node.replica, now)) {
     return node.replica.committed.rules().version();
@@ -42,24 +45,26 @@
   return std::nullopt;
 }
 
-/// Whether this instance has had the time to hear of all others. Before, it
-/// would take flows and orders of theirs for unknown ones.
-bool KnowsOthers(const Node& node, TimePoint now) {
+/// Whether all peers are alive, or `kPeerTimeout` has passed since the start.
+/// An instance that served before this would handle flows and orders that other
+/// instances know as unknown ones.
+bool PeerStatusKnown(const Node& node, TimePoint now) {
   return node.silent.empty() || now - node.started_at >= kPeerTimeout;
 }
 
-/// Nothing can have been served before the first rules file was accepted.
-void EndAmnesiaOfNewDeployment(NodeTurn& turn, std::uint64_t required) {
-  if (required == 0 && !turn.node.orders.unsure_with.empty()) {
-    turn.node.orders.unsure_with.clear();
-    Log(turn, EventId::kOrderMemoryRepaired, "no rules were ever in force");
+/// Marks the order records as complete if no rules file was ever accepted: no
+/// order can have been served before.
+void ClearUnsureForNewDeployment(NodeContext& context, std::uint64_t required) {
+  if (required == 0 && !context.node.orders.unsure_with.empty()) {
+    context.node.orders.unsure_with.clear();
+    Log(context, EventId::kOrderRecordsRestored, "no rules were ever in force");
   }
 }
 
 }  // namespace
 
-void TakeRules(NodeTurn& turn, const wire::RulesFile& file) {
-  Node& node = turn.node;
+void ApplyRulesFile(NodeContext& context, const wire::RulesFile& file) {
+  Node& node = context.node;
   if (file.version() <= node.rules_file.version()) {
     return;
   }
@@ -71,29 +76,29 @@
   node.rules_file = file;
   node.rules = std::move(parsed.rules);
   node.directory.generation += 1;
-  node.hello_at = turn.now;  // Tells the others without delay.
-  turn.effects.emplace_back(PersistRules{.rules = file});
-  Log(turn, EventId::kRulesInForce,
+  node.next_hello_at = context.now;  // Announces the new version at once.
+  context.effects.emplace_back(PersistRules{.rules = file});
+  Log(context, EventId::kRulesInForce,
       "version " + std::to_string(file.version()) + " from " +
           file.submitter());
 }
 
-void ConfirmRules(NodeTurn& turn) {
-  Node& node = turn.node;
+void ConfirmRules(NodeContext& context) {
+  Node& node = context.node;
   if (node.serving) {
     return;
   }
-  const auto required = RequiredVersion(node, turn.now);
+  const auto required = RequiredVersion(node, context.now);
   if (!required) {
     return;
   }
-  EndAmnesiaOfNewDeployment(turn, *required);
+  ClearUnsureForNewDeployment(context, *required);
   const bool ready = node.rules_file.version() >= *required &&
                      node.rules_file.version() > 0 &&
-                     KnowsOthers(node, turn.now);
+                     PeerStatusKnown(node, context.now);
   if (ready) {
     node.serving = true;
-    Log(turn, EventId::kServing,
+    Log(context, EventId::kServing,
         "rules version " + std::to_string(node.rules_file.version()));
   }
 }
--- a/Source/Outcomes/Outcomes.cc
+++ b/Source/Outcomes/Outcomes.cc
@@ -7,23 +7,29 @@
 namespace {
 
 constexpr Milliseconds kHalfLife{2000};
-/// So few failures may be chance.
-constexpr double kLeastFailures = 2.5;
-/// A smaller share of failures is left to the callers' retries.
-constexpr double kLeastShare = 0.2;
-/// A larger one is suspicious however often the others fail.
-constexpr double kLargestLimit = 0.6;
-/// How many times the share of the service's other servers is suspicious.
-constexpr double kTimesTheOthers = 3.0;
-/// A suspect is cleared below this part of the limit.
-constexpr double kClearance = 0.5;
-constexpr std::size_t kMostSuspectsOfService = 3;  ///< One in so many.
+/// A server with fewer recent failures is not failing; they may be due to
+/// chance.
+constexpr double kMinFailures = 2.5;
+/// Lower bound of the threshold, the failure rate from which a server is
+/// failing. Retries by the callers compensate for lower failure rates.
+constexpr double kMinThreshold = 0.2;
+/// Upper bound of the threshold, however often the other servers fail.
+constexpr double kMaxThreshold = 0.6;
+/// Ratio of the threshold to the failure rate of the service's other servers.
+constexpr double kThresholdFactor = 3.0;
+/// A failing server is cleared when its failure rate is below the threshold
+/// times this factor, or its number of failures is below `kMinFailures` times
+/// the square of this factor.
+constexpr double kClearingFactor = 0.5;
+/// At most one in this many servers of a service is marked as failing.
+constexpr std::size_t kMinServersPerFailingServer = 3;
+/// Servers are removed when their decayed number of flows is lower than this.
 constexpr double kNegligible = 0.05;
 
 struct Candidate {
   std::string id;
   OutcomeCounts counts;
-  double share = 0;
+  double failure_rate = 0;
 };
 
 OutcomeCounts Decay(const OutcomeCounts& counts, TimePoint now) {
@@ -36,91 +42,95 @@
                        .at = now};
 }
 
-/// Whether so many failures are hardly chance, when each flow fails with
-/// probability `share`.
-bool IsSignificant(const OutcomeCounts& counts, double share) {
+/// Returns whether the number of failures is significantly higher than expected
+/// when each flow fails with probability `failure_rate`.
+bool IsSignificant(const OutcomeCounts& counts, double failure_rate) {
   constexpr double kStandardDeviations = 3.0;
-  const double expected = share * (counts.served + counts.failed);
+  const double expected = failure_rate * (counts.served + counts.failed);
   return counts.failed >= expected + kStandardDeviations * std::sqrt(expected);
 }
 
-double ShareOf(double served, double failed) {
+double FailureRate(double served, double failed) {
   return served + failed > 0 ? failed / (served + failed) : 0;
 }
 
-/// The share of failures of the service's other servers.
-double ShareOfOthers(const OutcomeCounts& service,
-                     const OutcomeCounts& counts) {
-  return ShareOf(service.served - counts.served,
-                 service.failed - counts.failed);
+/// Returns the failure rate of the service's other servers.
+double FailureRateOfOthers(const OutcomeCounts& service_total,
+                           const OutcomeCounts& counts) {
+  return FailureRate(service_total.served - counts.served,
+                     service_total.failed - counts.failed);
 }
 
-/// A suspect gets few flows, so less evidence keeps it one.
-bool IsFailing(const Candidate& candidate, const OutcomeCounts& service,
-               bool was_suspect) {
+/// Returns whether a server is failing. A server that already is gets few
+/// flows, so fewer failures suffice for it to stay marked.
+bool IsFailing(const Candidate& candidate, const OutcomeCounts& service_total,
+               bool was_failing) {
   const OutcomeCounts& counts = candidate.counts;
-  const double usual = ShareOfOthers(service, counts);
-  const double limit =
-      std::clamp(kTimesTheOthers * usual, kLeastShare, kLargestLimit);
-  if (was_suspect) {
-    return candidate.share >= limit * kClearance &&
-           counts.failed >= kLeastFailures * kClearance * kClearance;
+  const double failure_rate_of_others =
+      FailureRateOfOthers(service_total, counts);
+  const double threshold = std::clamp(kThresholdFactor * failure_rate_of_others,
+                                      kMinThreshold, kMaxThreshold);
+  if (was_failing) {
+    return candidate.failure_rate >= threshold * kClearingFactor &&
+           counts.failed >= kMinFailures * kClearingFactor * kClearingFactor;
   }
-  return candidate.share >= limit && counts.failed >= kLeastFailures &&
-         IsSignificant(counts, usual);
+  return candidate.failure_rate >= threshold && counts.failed >= kMinFailures &&
+         IsSignificant(counts, failure_rate_of_others);
 }
 
 }  // namespace
 
-void AddOutcomes(OutcomeLedger& ledger, const std::string& server,
+void AddOutcomes(OutcomeStats& stats, const std::string& server,
                  std::uint32_t served, std::uint32_t failed, TimePoint now) {
-  OutcomeCounts& counts = ledger.servers[server];
+  OutcomeCounts& counts = stats.servers[server];
   counts = Decay(counts, now);
   counts.served += served;
   counts.failed += failed;
 }
 
-OutcomeCounts CountsOf(const OutcomeLedger& ledger, const std::string& server,
-                       TimePoint now) {
-  const auto found = ledger.servers.find(server);
-  return found == ledger.servers.end() ? OutcomeCounts{}
-                                       : Decay(found->second, now);
+OutcomeCounts GetOutcomeCounts(const OutcomeStats& stats,
+                               const std::string& server, TimePoint now) {
+  const auto found = stats.servers.find(server);
+  return found == stats.servers.end() ? OutcomeCounts{}
+                                      : Decay(found->second, now);
 }
 
-std::set<std::string> FindFailing(const OutcomeLedger& ledger,
-                                  const std::vector<std::string>& service,
-                                  const std::set<std::string>& suspects,
-                                  TimePoint now) {
+std::set<std::string> FindFailingServers(
+    const OutcomeStats& stats, const std::vector<std::string>& server_ids,
+    const std::set<std::string>& previously_failing, TimePoint now) {
   std::vector<Candidate> candidates;
-  for (const std::string& id : service) {
-    Candidate candidate{.id = id, .counts = CountsOf(ledger, id, now)};
-    candidate.share = ShareOf(candidate.counts.served, candidate.counts.failed);
+  for (const std::string& id : server_ids) {
+    Candidate candidate{.id = id, .counts = GetOutcomeCounts(stats, id, now)};
+    candidate.failure_rate =
+        FailureRate(candidate.counts.served, candidate.counts.failed);
     candidates.push_back(candidate);
   }
   std::sort(candidates.begin(), candidates.end(),
             [](const Candidate& left, const Candidate& right) {
-              return left.share < right.share;
+              return left.failure_rate < right.failure_rate;
             });
-  // Servers that are marked get few flows, so that those which fail less often
-  // stand out next.
-  OutcomeCounts all;
+  // Servers are examined in the order of descending failure rate. Servers with
+  // a lower rate may exceed the threshold only in a later call: once the worst
+  // are marked, they get few flows and add few failures to the total.
+  OutcomeCounts total;
   for (const Candidate& candidate : candidates) {
-    all.served += candidate.counts.served;
-    all.failed += candidate.counts.failed;
+    total.served += candidate.counts.served;
+    total.failed += candidate.counts.failed;
   }
   std::set<std::string> failing;
-  const std::size_t most = candidates.size() / kMostSuspectsOfService;
+  const std::size_t max_failing =
+      candidates.size() / kMinServersPerFailingServer;
   for (auto worst = candidates.rbegin();
-       worst != candidates.rend() && failing.size() < most; ++worst) {
-    if (IsFailing(*worst, all, suspects.contains(worst->id))) {
+       worst != candidates.rend() && failing.size() < max_failing; ++worst) {
+    if (IsFailing(*worst, total, previously_failing.contains(worst->id))) {
       failing.insert(worst->id);
     }
   }
   return failing;
 }
 
-void ForgetOutcomes(OutcomeLedger& ledger, TimePoint now) {
-  std::erase_if(ledger.servers, [&](const auto& item) {
+void RemoveExpiredOutcomes(OutcomeStats& stats, TimePoint now) {
+  std::erase_if(stats.servers, [&](const auto& item) {
     const OutcomeCounts counts = Decay(item.second, now);
     return counts.served + counts.failed < kNegligible;
   });
--- a/Source/Outcomes/Outcomes.h
+++ b/Source/Outcomes/Outcomes.h
@@ -8,43 +8,47 @@
 
 #include "Base/Time.h"
 
-/// Which backend servers fail their callers, judged by how flows went.
+/// Outlier detection: finds backend servers whose flows fail more often than
+/// those of the other servers of the same service.
 ///
-/// A server may fail part of its requests while it calls itself healthy, or be
-/// well though it says otherwise. What counts is what callers get. A server is
-/// compared with the others of its service, so that a cause outside the servers
-/// (overload, a slow network) leaves none out. Plain state and pure functions;
-/// not thread safe.
+/// What a server reports about its own health may be wrong in both directions,
+/// so the results that callers get are counted instead. Each server is compared
+/// with the others of its service, so that a cause outside the servers
+/// (overload, a slow network) does not exclude any of them. Plain state and
+/// pure functions; not thread safe.
 namespace filbertwall {
 
-/// Flows of one server; older ones weigh less.
+/// Exponentially decaying counts of the flows of one server.
 struct OutcomeCounts {
   double served = 0;
   double failed = 0;
-  TimePoint at;  ///< When the counts were last brought up to date.
+  TimePoint at;  ///< The time for which the decayed counts are valid.
 };
 
-struct OutcomeLedger {
+struct OutcomeStats {
   std::map<std::string, OutcomeCounts> servers;  ///< By id.
 };
 
-/// Adds flows that ended at a server.
-void AddOutcomes(OutcomeLedger& ledger, const std::string& server,
+/// Adds ended flows of a server to its counts.
+void AddOutcomes(OutcomeStats& stats, const std::string& server,
                  std::uint32_t served, std::uint32_t failed, TimePoint now);
 
-/// The counts of a server as they weigh now; zero when nothing is known.
-OutcomeCounts CountsOf(const OutcomeLedger& ledger, const std::string& server,
-                       TimePoint now);
-
-/// The servers of one service that fail clearly more often than its others.
-/// `suspects` are those that were named the last time: a server stays one until
-/// its share of failures has fallen by half. At most a third are named.
-std::set<std::string> FindFailing(const OutcomeLedger& ledger,
-                                  const std::vector<std::string>& service,
-                                  const std::set<std::string>& suspects,
-                                  TimePoint now);
-
-/// Drops servers whose flows were too long ago to weigh anything.
-void ForgetOutcomes(OutcomeLedger& ledger, TimePoint now);
+/// Returns the counts of a server, decayed to `now`; zero for an unknown
+/// server.
+OutcomeCounts GetOutcomeCounts(const OutcomeStats& stats,
+                               const std::string& server, TimePoint now);
+
+/// Returns which servers of a service are failing: those whose failure rate is
+/// significantly higher than the rate of the others, at most a third of the
+/// servers. `server_ids` are all servers of the service. `previously_failing`
+/// is the previous result: such a server is returned again until its failure
+/// rate is below half of the threshold for the rest, or until it has very
+/// few recent failures.
+std::set<std::string> FindFailingServers(
+    const OutcomeStats& stats, const std::vector<std::string>& server_ids,
+    const std::set<std::string>& previously_failing, TimePoint now);
+
+/// Removes servers whose counts have decayed to almost zero.
+void RemoveExpiredOutcomes(OutcomeStats& stats, TimePoint now);
 
 }  // namespace filbertwall
--- a/Source/Requests/OrderClaim.cc
+++ b/Source/Requests/OrderClaim.cc
@@ -2,21 +2,21 @@
 
 #include "Base/Hash.h"
 #include "Requests/OrderLog.h"
-#include "Requests/RequestTurn.h"
+#include "Requests/RequestContext.h"
 
-/// Claims: how an instance gains the sole right to dispatch an order.
+/// Claims give one instance the exclusive right to dispatch an order.
 namespace filbertwall {
 namespace {
 
 constexpr Milliseconds kRecorderTimeout{150};
-constexpr Milliseconds kRetryPause{20};
+constexpr Milliseconds kClaimRetryDelay{20};
 
-std::uint64_t NewAttempt(RequestTier& tier) {
+std::uint64_t NewAttemptId(RequestTier& tier) {
   const std::uint64_t number = tier.next_attempt++;
   return MixHash(MixHash(tier.incarnation, tier.self), number);
 }
 
-wire::OrderRecord RecordOf(const OpenRequest& open) {
+wire::OrderRecord BuildRecord(const OpenRequest& open) {
   wire::OrderRecord record;
   record.set_key(open.key);
   record.set_generation(open.generation);
@@ -27,20 +27,22 @@
   return record;
 }
 
-void AskNext(RequestTurn& turn, OpenRequest& open) {
+void SendNextClaim(RequestContext& context, OpenRequest& open) {
   ClaimState& claim = open.claim;
   wire::Claim message;
-  *message.mutable_record() = RecordOf(open);
-  turn.effects.emplace_back(
+  *message.mutable_record() = BuildRecord(open);
+  context.effects.emplace_back(
       SendClaim{.to = claim.recorders[claim.asked], .claim = message});
   claim.asked += 1;
-  claim.next_step_at = turn.context.now + kRecorderTimeout;
+  claim.next_action_at = context.environment.now + kRecorderTimeout;
 }
 
-/// The first recorder settles races, so the others are asked only after it.
-void AskOthers(RequestTurn& turn, OpenRequest& open) {
+/// Sends the claim to the recorders that have not received it yet. They are
+/// contacted only after the first recorder has granted the claim or timed out,
+/// so that the first one decides between concurrent claims.
+void SendRemainingClaims(RequestContext& context, OpenRequest& open) {
   while (open.claim.asked < open.claim.recorders.size()) {
-    AskNext(turn, open);
+    SendNextClaim(context, open);
   }
 }
 
@@ -48,41 +50,43 @@
   return claim.recorders.size() / 2 + 1;
 }
 
-void PauseClaim(RequestTurn& turn, OpenRequest& open) {
-  WithdrawClaim(turn, open);
-  const std::uint64_t jitter = MixHash(open.claim.attempt, open.claim.tries);
-  open.phase = RequestPhase::kWaiting;
-  open.claim.next_step_at = turn.context.now + kRetryPause * (1 + jitter % 4);
+void ScheduleClaimRetry(RequestContext& context, OpenRequest& open) {
+  WithdrawClaim(context, open);
+  const std::uint64_t jitter =
+      MixHash(open.claim.attempt, open.claim.claim_attempts);
+  open.phase = RequestPhase::kClaimBackoff;
+  open.claim.next_action_at =
+      context.environment.now + kClaimRetryDelay * (1 + jitter % 4);
 }
 
-void TakeExisting(RequestTurn& turn, OpenRequest& open,
-                  const wire::OrderRecord& existing) {
-  if (existing.request_digest() != RecordOf(open).request_digest()) {
-    WithdrawClaim(turn, open);
+void HandleExistingRecord(RequestContext& context, OpenRequest& open,
+                          const wire::OrderRecord& existing) {
+  if (existing.request_digest() != BuildRecord(open).request_digest()) {
+    WithdrawClaim(context, open);
     wire::Answer answer;
     answer.set_status(422);
     answer.set_body("the Idempotency-Key was used for another request\n");
     wire::OrderRecord record;
     *record.mutable_answer() = answer;
-    FinishAsRecorded(turn, open, record);
+    FinishFromRecord(context, open, record);
     return;
   }
   if (existing.phase() == wire::INTENT ||
       existing.generation() > open.generation) {
-    PauseClaim(turn, open);
+    ScheduleClaimRetry(context, open);
     return;
   }
-  WithdrawClaim(turn, open);
-  FinishAsRecorded(turn, open, existing);
+  WithdrawClaim(context, open);
+  FinishFromRecord(context, open, existing);
 }
 
-void SendWithdrawal(RequestTurn& turn, std::uint32_t to, const std::string& key,
-                    std::uint64_t attempt) {
+void SendWithdrawal(RequestContext& context, std::uint32_t to,
+                    const std::string& key, std::uint64_t attempt) {
   wire::Outcome outcome;
   outcome.mutable_record()->set_key(key);
   outcome.mutable_record()->set_attempt(attempt);
   outcome.mutable_record()->set_phase(wire::NOT_RUN);
-  turn.effects.emplace_back(SendOutcome{.to = to, .outcome = outcome});
+  context.effects.emplace_back(SendOutcome{.to = to, .outcome = outcome});
 }
 
 OpenRequest* FindClaim(RequestTier& tier, const wire::ClaimReply& reply) {
@@ -96,40 +100,42 @@
 
 }  // namespace
 
-void StartClaim(RequestTurn& turn, OpenRequest& open) {
+void StartClaim(RequestContext& context, OpenRequest& open) {
   ClaimState& claim = open.claim;
-  const std::uint32_t tries = claim.tries + 1;
-  claim =
-      ClaimState{.recorders = RecordersOf(turn.tier.recorder_pool, open.key),
-                 .attempt = NewAttempt(turn.tier),
-                 .started_at = turn.context.now,
-                 .tries = tries};
-  turn.tier.attempts[claim.attempt] = open.id;
+  const std::uint32_t claim_attempts = claim.claim_attempts + 1;
+  claim = ClaimState{
+      .recorders = SelectRecorders(context.tier.recorder_pool, open.key),
+      .attempt = NewAttemptId(context.tier),
+      .started_at = context.environment.now,
+      .claim_attempts = claim_attempts};
+  context.tier.attempts[claim.attempt] = open.id;
   open.phase = RequestPhase::kClaiming;
-  // Silent recorders are asked last, but asked: the set never changes.
+  // Recorders considered down are contacted last but not left out, since the
+  // set of recorders must be the same at all instances.
   std::stable_partition(claim.recorders.begin(), claim.recorders.end(),
                         [&](std::uint32_t instance) {
-                          return !turn.context.silent.contains(instance);
+                          return !context.environment.silent.contains(instance);
                         });
-  AskNext(turn, open);
+  SendNextClaim(context, open);
 }
 
-void HandleClaimAnswered(RequestTurn& turn, const ClaimAnswered& event) {
+void HandleClaimAnswered(RequestContext& context, const ClaimAnswered& event) {
   const wire::ClaimReply& reply = event.reply;
-  OpenRequest* open = FindClaim(turn.tier, reply);
+  OpenRequest* open = FindClaim(context.tier, reply);
   const bool current = open != nullptr &&
                        open->claim.attempt == reply.attempt() &&
                        open->phase == RequestPhase::kClaiming;
   if (!current) {
-    // A grant that arrives after its claim was given up must not stay.
-    if (reply.granted() && turn.tier.withdrawn.contains(reply.attempt())) {
-      SendWithdrawal(turn, event.from, reply.key(), reply.attempt());
+    // The claim was withdrawn before its grant arrived: withdraw it again, so
+    // that the late grant does not block other claims on the key.
+    if (reply.granted() && context.tier.withdrawn.contains(reply.attempt())) {
+      SendWithdrawal(context, event.from, reply.key(), reply.attempt());
     }
     return;
   }
   if (!reply.granted()) {
     if (reply.has_existing()) {
-      TakeExisting(turn, *open, reply.existing());
+      HandleExistingRecord(context, *open, reply.existing());
     }
     return;
   }
@@ -137,44 +143,47 @@
   if (!reply.amnesiac()) {
     open->claim.granted.insert(event.from);
   }
-  AskOthers(turn, *open);
-  const bool in_time = turn.context.now - open->claim.started_at < kClaimLimit;
+  SendRemainingClaims(context, *open);
+  const bool in_time =
+      context.environment.now - open->claim.started_at < kClaimTimeout;
   if (open->claim.granted.size() >= Majority(open->claim) && in_time) {
-    Dispatch(turn, *open);
+    Dispatch(context, *open);
   }
 }
 
-void StepClaim(RequestTurn& turn, OpenRequest& open) {
-  if (turn.context.now < open.claim.next_step_at) {
+void AdvanceClaim(RequestContext& context, OpenRequest& open) {
+  if (context.environment.now < open.claim.next_action_at) {
     return;
   }
-  if (open.phase == RequestPhase::kWaiting) {
-    StartClaim(turn, open);
+  if (open.phase == RequestPhase::kClaimBackoff) {
+    StartClaim(context, open);
     return;
   }
   if (open.claim.asked < open.claim.recorders.size()) {
-    AskOthers(turn, open);
+    SendRemainingClaims(context, open);
     return;
   }
-  PauseClaim(turn, open);
+  ScheduleClaimRetry(context, open);
 }
 
-void WithdrawClaim(RequestTurn& turn, OpenRequest& open) {
+void WithdrawClaim(RequestContext& context, OpenRequest& open) {
   for (std::size_t i = 0; i < open.claim.asked; ++i) {
-    SendWithdrawal(turn, open.claim.recorders[i], open.key, open.claim.attempt);
+    SendWithdrawal(context, open.claim.recorders[i], open.key,
+                   open.claim.attempt);
   }
-  turn.tier.attempts.erase(open.claim.attempt);
-  turn.tier.withdrawn[open.claim.attempt] = turn.context.now;
+  context.tier.attempts.erase(open.claim.attempt);
+  context.tier.withdrawn[open.claim.attempt] = context.environment.now;
 }
 
-void SendOutcomes(RequestTurn& turn, const OpenRequest& open,
+void SendOutcomes(RequestContext& context, const OpenRequest& open,
                   wire::OrderPhase phase, const wire::Answer& answer) {
   wire::Outcome outcome;
-  *outcome.mutable_record() = RecordOf(open);
+  *outcome.mutable_record() = BuildRecord(open);
   outcome.mutable_record()->set_phase(phase);
   *outcome.mutable_record()->mutable_answer() = answer;
   for (const std::uint32_t recorder : open.claim.recorders) {
-    turn.effects.emplace_back(SendOutcome{.to = recorder, .outcome = outcome});
+    context.effects.emplace_back(
+        SendOutcome{.to = recorder, .outcome = outcome});
   }
 }
 
--- /dev/null
+++ b/Source/Requests/RequestContext.h
@@ -0,0 +1,64 @@
+#pragma once
+
+#include <string>
+#include <vector>
+
+#include "Requests/RequestTier.h"
+
+/// Internal to Requests: functions shared by the sources of the reducer.
+namespace filbertwall {
+
+/// Age above which a claim no longer leads to a dispatch. A restarted recorder
+/// relies on this limit: it waits 2 s before it pulls records. By then, each
+/// claim that it granted before the restart has been dispatched or has expired.
+inline constexpr Milliseconds kClaimTimeout{1000};
+
+/// State, inputs and collected effects during the handling of one event.
+struct RequestContext {
+  RequestTier& tier;
+  RequestEnvironment& environment;
+  std::vector<RequestEffect>& effects;
+};
+
+/// Increments the counter.
+void Count(RequestContext& context, const std::string& counter);
+
+/// Each of the following Finish functions sends a response to the caller and
+/// closes the request. The reference `open` is invalid afterwards.
+
+/// Returns the backend server's response to the caller and, for an order,
+/// reports it to the recorders as the outcome, unless its body is over 64 KiB.
+void FinishComplete(RequestContext& context, OpenRequest& open,
+                    const wire::Answer& answer);
+/// Reports "not-run", or "unknown" if an attempt or another copy of the order
+/// may have run.
+/// Precondition: no attempt of the request can still be running.
+void FinishNotRun(RequestContext& context, OpenRequest& open,
+                  const std::string& reason);
+/// Reports "unknown". Sends no outcome, so the recorders keep the INTENT of an
+/// order and its copies get "unknown" as well.
+void FinishUnknown(RequestContext& context, OpenRequest& open,
+                   const std::string& reason);
+/// Returns the recorded outcome of another copy of the order.
+void FinishFromRecord(RequestContext& context, OpenRequest& open,
+                      const wire::OrderRecord& record);
+
+/// Sends the request to a backend server, queues it, or rejects it.
+void Dispatch(RequestContext& context, OpenRequest& open);
+/// Dispatches queued requests to free slots, interactive requests first.
+void DrainQueues(RequestContext& context);
+
+/// Sends a new claim to the first recorder of the order's key.
+void StartClaim(RequestContext& context, OpenRequest& open);
+void HandleClaimAnswered(RequestContext& context, const ClaimAnswered& event);
+/// Handles the time-outs of a claim. When the first recorder does not reply in
+/// time, sends the claim to the others; when these do not, withdraws the claim
+/// and schedules a retry; when the retry is due, starts it.
+void AdvanceClaim(RequestContext& context, OpenRequest& open);
+/// Withdraws a claim that was not dispatched from the recorders it was sent to.
+void WithdrawClaim(RequestContext& context, OpenRequest& open);
+/// Sends the outcome of the order to all recorders of its key.
+void SendOutcomes(RequestContext& context, const OpenRequest& open,
+                  wire::OrderPhase phase, const wire::Answer& answer);
+
+}  // namespace filbertwall
--- a/Source/Rules/Rules.h
+++ b/Source/Rules/Rules.h
@@ -8,29 +8,37 @@
 #include "Base/Endpoint.h"
 #include "Base/Time.h"
 
-/// The rules that operators hand over, as plain data.
+/// The parsed contents of a rules file.
 namespace filbertwall {
 
 enum class Protocol { kHttp, kPackets };
 
-/// What a service weighs more when its set of backend servers changes.
-enum class Preference { kStability, kBalance };
+/// Goal of server selection when the set of backend servers of a service
+/// changes.
+enum class Preference {
+  kStability,  ///< The fewest broken flows.
+  kBalance     ///< The most even distribution.
+};
 
+/// Whether requests are idempotent; `kByMethod`: as RFC 9110 defines the
+/// method.
 enum class Idempotence { kByMethod, kYes, kNo };
 
+/// Priority in the queue: interactive requests are dispatched before bulk ones.
 enum class TrafficClass { kInteractive, kBulk };
 
-/// Where a rule stands and who asked for it.
+/// Line of a rule in the file, and who requested it.
 struct Origin {
   int line = 0;
-  std::string asker;
+  std::string requester;  ///< The NAME in the comment `# by: NAME`.
 };
 
-/// What a service's operators tell of it beside its treatment here.
+/// Properties of a service that do not affect server selection. They are stored
+/// and returned to clients that read the rules.
 struct ServiceDetails {
   std::string health_path;
   std::string application = "h1";  ///< Protocol inside the flows.
-  std::uint32_t flow_limit = 0;    ///< Of each backend server; 0: none given.
+  std::uint32_t flow_limit = 0;    ///< Of each backend server; 0: not set.
   bool tls = false;
   bool operator==(const ServiceDetails&) const = default;
 };
@@ -43,37 +51,39 @@
   Origin origin;
 };
 
-/// A service among those that the flows to one address are split over.
-struct SharedService {
+/// A service that receives a weighted share of the new flows to an address.
+struct WeightedService {
   std::string service;
   std::uint32_t weight = 1;
-  bool operator==(const SharedService&) const = default;
+  bool operator==(const WeightedService&) const = default;
 };
 
-/// Whether the requests inside a flow may be repeated.
+/// Whether the requests inside a flow may be retried.
 enum class RouteKind { kUnsafe, kSafe, kDownload };
 
-/// How the flows to one address are treated.
-struct RouteTreatment {
+/// Settings for the flows to one address.
+struct RouteSettings {
   std::string name;  ///< For operators; may be empty.
   RouteKind kind = RouteKind::kUnsafe;
   Milliseconds timeout{2000};
   Milliseconds objective{0};   ///< Latency objective; 0: none.
   std::uint32_t priority = 0;  ///< 0 is the highest.
   std::uint32_t attempts = 1;
-  bool operator==(const RouteTreatment&) const = default;
+  bool operator==(const RouteSettings&) const = default;
 };
 
 struct AddressRule {
   Endpoint address;
   std::string service;  ///< The first of `shares`.
-  std::vector<SharedService> shares;
-  bool weighted = false;  ///< The line gives weights.
-  RouteTreatment treatment;
+  std::vector<WeightedService> shares;
+  bool weighted = false;  ///< The line sets a weight.
+  RouteSettings route_settings;
   Origin origin;
 };
 
-/// Limits on requests that the instances between caller and server observe.
+/// Limits on request size and timeouts, for the instances between caller and
+/// server to enforce. They are stored and returned to clients that read the
+/// rules; entry instances do not apply them.
 struct BoundsRule {
   std::uint32_t header_bytes = 0;
   std::uint32_t body_bytes = 0;
@@ -82,14 +92,14 @@
   bool operator==(const BoundsRule&) const = default;
 };
 
-/// Treatment of the requests whose method and path prefix match.
+/// Settings for the requests whose method and path prefix match.
 struct RequestRule {
   std::string service;
   std::string method;  ///< "*" matches every method.
-  std::string path;
+  std::string path;    ///< Prefix of the request's path.
   Milliseconds deadline{2000};
   std::uint32_t retries = 0;
-  std::uint32_t queue = 64;
+  std::uint32_t queue = 64;  ///< Maximum number of requests queued ahead.
   Idempotence idempotence = Idempotence::kByMethod;
   TrafficClass traffic_class = TrafficClass::kBulk;
   Origin origin;
@@ -102,7 +112,8 @@
   Origin origin;
 };
 
-/// Upper bound on the slots used of each backend server of a service.
+/// Upper limit on the slots of each backend server of a service. It applies
+/// where a server announces more. A slot serves one request at a time.
 struct LimitRule {
   std::string service;
   std::uint32_t slots = 0;
@@ -119,23 +130,24 @@
   BoundsRule bounds;
 };
 
-/// The service that a request's Host header names: a service's name or one of
-/// its addresses. Null when there is none.
+/// Returns the service whose name or address equals a request's Host header, or
+/// null.
 const ServiceRule* FindServiceByHost(const Rules& rules,
                                      const std::string& host);
 
-/// The matching rule with the longest path, an exact method before "*". Null
-/// when there is none.
+/// Returns the matching rule with the longest path, or null. Of two rules with
+/// the same path, an exact method precedes "*".
 const RequestRule* FindRequestRule(const Rules& rules,
                                    const std::string& service,
                                    const std::string& method,
                                    const std::string& path);
 
-/// The rule's wish, or RFC 9110 section 9.2.2 by method when there is none.
+/// Returns the rule's setting. Without one, the method decides as in RFC 9110,
+/// section 9.2.2. `rule` may be null.
 bool IsIdempotent(const RequestRule* rule, const std::string& method);
 
-/// 1 when no rule sets the weight of the backend server.
-std::uint32_t WeightOf(const Rules& rules, const std::string& service,
-                       const Endpoint& backend);
+/// Returns the weight of a backend server, 1 if no rule sets it.
+std::uint32_t GetBackendWeight(const Rules& rules, const std::string& service,
+                               const Endpoint& backend);
 
 }  // namespace filbertwall
--- a/Tests/Control/ReplicaTest.cc
+++ b/Tests/Control/ReplicaTest.cc
@@ -2,31 +2,33 @@
 
 #include <CppUTest/TestHarness.h>
 
+/// Tests replicas with a fixed set of control instances, with random faults of
+/// the network, the processes and the disks.
 using namespace filbertwall;
 
 TEST_GROUP(Replica){};
 
 TEST(Replica, RandomHistoriesKeepAcceptedFiles) {
-  const std::string found = ExploreMany(1, 300, {});
+  const std::string found = RunRandomHistories(1, 300, {});
   STRCMP_EQUAL("", found.c_str());
 }
 
-TEST(Replica, CheckFindsVotesKeptInMemory) {
+TEST(Replica, CheckDetectsUnpersistedPromises) {
   const std::string found =
-      ExploreMany(1, 400, Faults{.forget_promises = true});
+      RunRandomHistories(1, 400, Faults{.forget_promises = true});
   CHECK_FALSE(found.empty());
 }
 
-TEST(Replica, CheckFindsLostDiskThatStillVotes) {
+TEST(Replica, CheckDetectsLostDiskThatStillVotes) {
   const std::string found =
-      ExploreMany(1, 400, Faults{.blank_keeps_incarnation = true});
+      RunRandomHistories(1, 400, Faults{.lost_disk_keeps_incarnation = true});
   CHECK_FALSE(found.empty());
 }
 
 TEST(Replica, OneOfTwoEqualVersionsIsAccepted) {
-  Group group = MakeGroup(1, 3);
+  ReplicaGroup group = MakeGroup(1, 3);
   Settle(group);
-  const std::uint32_t leader = LeaderOf(group);
+  const std::uint32_t leader = FindLeader(group);
   Submit(group, leader, 1, "a");
   Submit(group, leader, 1, "b");
   Settle(group);
@@ -36,22 +38,22 @@
 }
 
 TEST(Replica, ResentFileGetsItsFirstVerdictEverywhere) {
-  Group group = MakeGroup(1, 3);
+  ReplicaGroup group = MakeGroup(1, 3);
   Settle(group);
-  Submit(group, LeaderOf(group), 1, "a");
+  Submit(group, FindLeader(group), 1, "a");
   Settle(group);
   group.accepted.clear();
   for (const std::uint32_t id : {1U, 2U, 3U}) {
-    Boot(group, id);
+    StartInstance(group, id);
     Submit(group, id, 1, "a");
     STRCMP_EQUAL("a", group.accepted.at(1).c_str());
   }
 }
 
 TEST(Replica, LeaderThatSleptPastItsLeaseDoesNotClaimIt) {
-  Group group = MakeGroup(1, 3);
+  ReplicaGroup group = MakeGroup(1, 3);
   Settle(group);
-  const std::uint32_t leader = LeaderOf(group);
+  const std::uint32_t leader = FindLeader(group);
   Replica& replica = group.replicas.at(leader);
   group.now += replica.config.lease + Milliseconds(1);
   CHECK_FALSE(HasLease(replica, group.now));
@@ -62,11 +64,11 @@
 }
 
 TEST(Replica, NoPromiseWithinALeaseGrantedBeforeARestart) {
-  Group group = MakeGroup(1, 3);
+  ReplicaGroup group = MakeGroup(1, 3);
   Settle(group);
-  const std::uint32_t leader = LeaderOf(group);
+  const std::uint32_t leader = FindLeader(group);
   const std::uint32_t voter = leader == 1 ? 2 : 1;
-  Boot(group, voter);
+  StartInstance(group, voter);
   group.network.clear();
   wire::ControlMessage message;
   message.set_cluster(7);
@@ -77,10 +79,10 @@
   CHECK(group.network.empty());
 }
 
-TEST(Replica, LostDiskIsReadmittedAndASecondLossLosesNothing) {
-  Group group = MakeGroup(3, 3);
+TEST(Replica, LostDiskIsReadmittedAndASecondLossLosesNoData) {
+  ReplicaGroup group = MakeGroup(3, 3);
   Settle(group);
-  Submit(group, LeaderOf(group), 1, "a");
+  Submit(group, FindLeader(group), 1, "a");
   Settle(group);
   LoseDisk(group, 2);
   Settle(group);
@@ -92,10 +94,10 @@
   STRCMP_EQUAL("", group.violation.c_str());
 }
 
-TEST(Replica, RemovedVoterDoesNotComeBackByItself) {
-  Group group = MakeGroup(3, 3);
+TEST(Replica, RemovedVoterIsNotReadmitted) {
+  ReplicaGroup group = MakeGroup(3, 3);
   Settle(group);
-  const std::uint32_t leader = LeaderOf(group);
+  const std::uint32_t leader = FindLeader(group);
   const std::uint32_t removed = leader == 3 ? 2 : 3;
   ControlSubmitted event{.token = 0};
   event.change.mutable_member()->set_instance(removed);
@@ -117,5 +119,6 @@
   CHECK(state.history_size() <= kHistoryLimit);
   wire::RulesFile old_file;
   old_file.set_version(1);
-  CHECK(RuleOn(state, old_file).kind == Ruling::Kind::kForgotten);
+  CHECK(DecideRulesFile(state, old_file).kind ==
+        RulesDecision::Kind::kOutsideHistory);
 }
--- a/Tests/Fleet/FleetWorld.h
+++ b/Tests/Fleet/FleetWorld.h
@@ -10,38 +10,40 @@
 #include "Fleet/ControlInstance.h"
 #include "Fleet/EntryInstance.h"
 
-/// Control and entry instances, their disks and the messages between them.
+/// Simulation of a fleet: control and entry instances, their disks, and the
+/// messages between them, in simulated time.
 namespace filbertwall {
 
 struct FleetWorld {
   TimePoint now{std::chrono::hours(1)};
-  FleetConfig config;  ///< What all instances have in common.
+  FleetConfig config;  ///< Settings that all instances share.
   std::map<InstanceAddress, ControlInstance> controls;
   std::map<InstanceAddress, EntryInstance> entries;
   std::map<InstanceAddress, std::vector<wire::DurableRecord>> disks;
   std::map<InstanceAddress, wire::SavedRegistry> saved;
   std::set<InstanceAddress> down;
-  /// Whether a message from the first to the second is lost.
-  std::function<bool(InstanceAddress, InstanceAddress)> cut =
+  /// Whether a message from the first instance to the second is lost.
+  std::function<bool(InstanceAddress, InstanceAddress)> is_lost =
       [](InstanceAddress, InstanceAddress) { return false; };
-  /// Sees each message, also those that are lost.
-  std::function<void(InstanceAddress, const SendMessage&)> sent =
+  /// Called for each message, including those that are lost.
+  std::function<void(InstanceAddress, const SendMessage&)> on_send =
       [](InstanceAddress, const SendMessage&) {};
-  struct Letter {
+  struct InFlightMessage {
     InstanceAddress from = 0;
     SendMessage message;
   };
-  std::vector<Letter> letters;
+  std::vector<InFlightMessage> messages_in_flight;
   std::map<CallId, AnswerCall> answers;
   CallId next_call = 1;
   std::uint64_t next_incarnation = 1000;
 };
 
-inline void Carry(FleetWorld& world, InstanceAddress from,
-                  const SendMessage& effect) {
-  world.sent(from, effect);
-  if (!world.cut(from, effect.to)) {
-    world.letters.push_back({.from = from, .message = effect});
+/// Queues a message for delivery unless it is lost.
+inline void QueueMessage(FleetWorld& world, InstanceAddress from,
+                         const SendMessage& effect) {
+  world.on_send(from, effect);
+  if (!world.is_lost(from, effect.to)) {
+    world.messages_in_flight.push_back({.from = from, .message = effect});
   }
 }
 
@@ -50,7 +52,7 @@
   for (const ControlInstanceEffect& effect :
        Reduce(world.controls.at(id), event, world.now)) {
     if (const auto* send = std::get_if<SendMessage>(&effect)) {
-      Carry(world, id, *send);
+      QueueMessage(world, id, *send);
     } else if (const auto* record = std::get_if<PersistRecord>(&effect)) {
       world.disks[id].push_back(record->record);
     } else if (const auto* save = std::get_if<SaveRegistry>(&effect)) {
@@ -66,12 +68,12 @@
   for (const EntryEffect& effect :
        Reduce(world.entries.at(id), event, world.now)) {
     if (const auto* send = std::get_if<SendMessage>(&effect)) {
-      Carry(world, id, *send);
+      QueueMessage(world, id, *send);
     }
   }
 }
 
-inline FleetConfig ConfigOf(FleetWorld& world, InstanceAddress id) {
+inline FleetConfig MakeInstanceConfig(FleetWorld& world, InstanceAddress id) {
   FleetConfig config = world.config;
   config.self = id;
   config.data_centre = "dc" + std::to_string(id % 4);
@@ -81,10 +83,10 @@
 
 inline void StartControl(FleetWorld& world, InstanceAddress id,
                          bool first_start) {
-  const FleetConfig config = ConfigOf(world, id);
+  const FleetConfig config = MakeInstanceConfig(world, id);
   std::vector<wire::DurableRecord>& disk = world.disks[id];
   if (disk.empty()) {
-    disk.push_back(FirstRecord(config, first_start));
+    disk.push_back(InitialRecord(config, first_start));
   }
   world.controls.insert_or_assign(id, MakeControlInstance(config, disk));
   world.down.erase(id);
@@ -92,19 +94,22 @@
 }
 
 inline void StartEntry(FleetWorld& world, InstanceAddress id) {
-  world.entries.insert_or_assign(id, MakeEntryInstance(ConfigOf(world, id)));
+  world.entries.insert_or_assign(
+      id, MakeEntryInstance(MakeInstanceConfig(world, id)));
   world.down.erase(id);
   Apply(world, id, EntryStarted{});
 }
 
+/// Delivers messages until none is left, including those that are added
+/// meanwhile.
 inline void DeliverAll(FleetWorld& world) {
-  while (!world.letters.empty()) {
-    std::vector<FleetWorld::Letter> letters;
-    letters.swap(world.letters);
-    for (const FleetWorld::Letter& letter : letters) {
-      const InstanceAddress to = letter.message.to;
-      const PeerMessage message{.from = letter.from,
-                                .message = letter.message.message};
+  while (!world.messages_in_flight.empty()) {
+    std::vector<FleetWorld::InFlightMessage> delivered;
+    delivered.swap(world.messages_in_flight);
+    for (const FleetWorld::InFlightMessage& item : delivered) {
+      const InstanceAddress to = item.message.to;
+      const PeerMessage message{.from = item.from,
+                                .message = item.message.message};
       if (world.down.contains(to)) {
         continue;
       }
@@ -117,19 +122,19 @@
   }
 }
 
-/// Lets time pass in small steps.
+/// Advances the time in small steps, and handles due timers and messages.
 inline void Run(FleetWorld& world, Milliseconds time) {
   constexpr Milliseconds kStep{5};
   for (Milliseconds passed{0}; passed < time; passed += kStep) {
     world.now += kStep;
     for (auto& [id, instance] : world.controls) {
       if (!world.down.contains(id) && world.now >= NextDue(instance)) {
-        Apply(world, id, ControlInstanceDue{});
+        Apply(world, id, ControlInstanceTick{});
       }
     }
     for (auto& [id, instance] : world.entries) {
       if (!world.down.contains(id) && world.now >= NextDue(instance)) {
-        Apply(world, id, EntryDue{});
+        Apply(world, id, EntryTick{});
       }
     }
     DeliverAll(world);
@@ -164,11 +169,13 @@
   return call;
 }
 
-/// Submits as an operator does: elsewhere when told to, until accepted.
+/// Submits a rules file as a client does: follows redirects and otherwise tries
+/// the next control instance until one accepts. Returns false when none accepts
+/// within the limit of attempts.
 inline bool SubmitUntilAccepted(FleetWorld& world, std::uint64_t version) {
-  constexpr int kTries = 40;
+  constexpr int kMaxAttempts = 40;
   InstanceAddress to = world.controls.begin()->first;
-  for (int i = 0; i < kTries; ++i) {
+  for (int i = 0; i < kMaxAttempts; ++i) {
     if (world.down.contains(to) || !world.controls.contains(to)) {
       to = world.controls.rbegin()->first;
     }
@@ -198,7 +205,7 @@
   ServerReported event{.call = call};
   event.record.set_id(id);
   event.record.set_service("proof");
-  event.record.set_ip(static_cast<std::uint32_t>(NumberOf(id)));
+  event.record.set_ip(static_cast<std::uint32_t>(ParseServerNumber(id)));
   event.record.set_port(80);
   event.record.set_slots(2);
   event.record.set_incarnation(1);
--- a/Tests/Outcomes/OutcomesTest.cc
+++ b/Tests/Outcomes/OutcomesTest.cc
@@ -14,101 +14,112 @@
 }  // namespace
 
 TEST_GROUP(Outcomes) {
-  OutcomeLedger ledger;
-  std::vector<std::string> service;
-  std::set<std::string> suspects;
+  OutcomeStats stats;
+  std::vector<std::string> server_ids;
+  std::set<std::string> failing;
   TimePoint now = kStart;
   std::mt19937 random{7};
 
   void setup() override {
     for (int i = 0; i < 14; ++i) {
-      this->service.push_back("s" + std::to_string(i));
+      this->server_ids.push_back("s" + std::to_string(i));
     }
   }
 
-  /// Plays flows at an even rate over the servers that are no suspects;
-  /// suspects get a twelfth. `fails` gives a server's share of failures.
+  /// Simulates flows at the same rate for each server; a failing server gets a
+  /// twelfth of that rate. `failure_rate_of` returns the probability that a
+  /// flow of a server fails.
   template <typename Share>
-  void Play(Milliseconds time, double flows_a_second, Share fails) {
+  void SimulateFlows(Milliseconds time, double flows_per_second,
+                     Share failure_rate_of) {
     constexpr Milliseconds kStep{50};
     std::uniform_real_distribution<double> draw(0, 1);
     for (Milliseconds passed{0}; passed < time; passed += kStep) {
       this->now += kStep;
-      for (const std::string& id : this->service) {
-        const double part = this->suspects.contains(id) ? 1.0 / 12 : 1.0;
-        if (draw(this->random) > part * flows_a_second * 0.05) {
+      for (const std::string& id : this->server_ids) {
+        const double rate_factor = this->failing.contains(id) ? 1.0 / 12 : 1.0;
+        if (draw(this->random) > rate_factor * flows_per_second * 0.05) {
           continue;
         }
-        const bool failed = draw(this->random) < fails(id);
-        AddOutcomes(this->ledger, id, failed ? 0 : 1, failed ? 1 : 0,
-                    this->now);
+        const bool failed = draw(this->random) < failure_rate_of(id);
+        AddOutcomes(this->stats, id, failed ? 0 : 1, failed ? 1 : 0, this->now);
       }
-      this->suspects =
-          FindFailing(this->ledger, this->service, this->suspects, this->now);
+      this->failing = FindFailingServers(this->stats, this->server_ids,
+                                         this->failing, this->now);
     }
   }
 };
 
-/// The load: 14 servers with 15 flows a second each, two of which fail 45 % of
-/// their requests for some seconds while they call themselves healthy.
-TEST(Outcomes, ServersThatFailPartOfTheirRequestsAreNamedSoon) {
-  const auto fails = [](const std::string& id) {
+/// Two of 14 servers with 15 flows per second each fail 45 % of their requests
+/// for some seconds while they report that they are healthy.
+TEST(Outcomes, FindsServersThatFailPartOfTheirRequests) {
+  const auto failure_rate_of = [](const std::string& id) {
     return id == "s3" || id == "s8" ? 0.45 : 0.002;
   };
-  this->Play(Milliseconds(3000), 15, [](const std::string&) { return 0.002; });
-  CHECK(this->suspects.empty());
-  this->Play(Milliseconds(2000), 15, fails);
-  CHECK((this->suspects == std::set<std::string>{"s3", "s8"}));
-  this->Play(Milliseconds(5000), 15, fails);
-  CHECK((this->suspects == std::set<std::string>{"s3", "s8"}));
+  this->SimulateFlows(Milliseconds(3000), 15,
+                      [](const std::string&) { return 0.002; });
+  CHECK(this->failing.empty());
+  this->SimulateFlows(Milliseconds(2000), 15, failure_rate_of);
+  CHECK((this->failing == std::set<std::string>{"s3", "s8"}));
+  this->SimulateFlows(Milliseconds(5000), 15, failure_rate_of);
+  CHECK((this->failing == std::set<std::string>{"s3", "s8"}));
 }
 
-TEST(Outcomes, AServerThatIsWellAgainIsCleared) {
-  this->Play(Milliseconds(3000), 15,
-             [](const std::string& id) { return id == "s3" ? 0.5 : 0.0; });
-  CHECK(this->suspects.contains("s3"));
-  this->Play(Milliseconds(9000), 15, [](const std::string&) { return 0.0; });
-  CHECK(this->suspects.empty());
+TEST(Outcomes, ClearsARecoveredServer) {
+  this->SimulateFlows(Milliseconds(3000), 15, [](const std::string& id) {
+    return id == "s3" ? 0.5 : 0.0;
+  });
+  CHECK(this->failing.contains("s3"));
+  this->SimulateFlows(Milliseconds(9000), 15,
+                      [](const std::string&) { return 0.0; });
+  CHECK(this->failing.empty());
 }
 
-TEST(Outcomes, OneAccidentNamesNobody) {
-  this->Play(Milliseconds(2000), 15, [](const std::string&) { return 0.0; });
-  AddOutcomes(this->ledger, "s1", 0, 1, this->now);
-  CHECK(FindFailing(this->ledger, this->service, {}, this->now).empty());
+TEST(Outcomes, IgnoresASingleFailure) {
+  this->SimulateFlows(Milliseconds(2000), 15,
+                      [](const std::string&) { return 0.0; });
+  AddOutcomes(this->stats, "s1", 0, 1, this->now);
+  CHECK(
+      FindFailingServers(this->stats, this->server_ids, {}, this->now).empty());
 }
 
-TEST(Outcomes, ACauseOutsideTheServersNamesNobody) {
-  this->Play(Milliseconds(5000), 15, [](const std::string&) { return 0.4; });
-  CHECK(this->suspects.size() <= 1);
+TEST(Outcomes, IgnoresACauseOutsideTheServers) {
+  this->SimulateFlows(Milliseconds(5000), 15,
+                      [](const std::string&) { return 0.4; });
+  CHECK(this->failing.size() <= 1);
 }
 
-/// The load: a busy service, some of whose flows last too long anywhere. Each
-/// control instance sees a few flows of each server, so some servers look bad
-/// by chance; leaving them out would make the others busier still.
-TEST(Outcomes, ABusyServiceLosesFewServersByChance) {
+/// Guards against excluding servers by chance. In a busy service some flows of
+/// every server take too long, and each control instance sees only a few flows
+/// of each server. Excluding servers would increase the load of the others
+/// further.
+TEST(Outcomes, FindsFewServersByChanceInABusyService) {
   std::size_t marked = 0;
   int rounds = 0;
   for (; rounds < 60; ++rounds) {
-    this->Play(Milliseconds(500), 2, [](const std::string&) { return 0.04; });
-    marked += this->suspects.size();
+    this->SimulateFlows(Milliseconds(500), 2,
+                        [](const std::string&) { return 0.04; });
+    marked += this->failing.size();
   }
-  CHECK(marked * 100 < rounds * this->service.size() * 2);  // 2 %
+  CHECK(marked * 100 < rounds * this->server_ids.size() * 2);  // 2 %
 }
 
-TEST(Outcomes, NoMoreThanAThirdIsNamed) {
-  this->Play(Milliseconds(5000), 15, [](const std::string& id) {
+TEST(Outcomes, FindsAtMostAThirdOfTheServers) {
+  this->SimulateFlows(Milliseconds(5000), 15, [](const std::string& id) {
     return id > "s3" ? 0.9 : 0.0;  // s4 to s9
   });
-  LONGS_EQUAL(4, this->suspects.size());
+  LONGS_EQUAL(4, this->failing.size());
 }
 
-TEST(Outcomes, WithoutFlowsASuspectIsForgotten) {
-  AddOutcomes(this->ledger, "s1", 0, 5, this->now);
-  AddOutcomes(this->ledger, "s2", 5, 0, this->now);
-  CHECK_EQUAL(1,
-              FindFailing(this->ledger, this->service, {}, this->now).size());
+TEST(Outcomes, ClearsAFailingServerWithoutFlows) {
+  AddOutcomes(this->stats, "s1", 0, 5, this->now);
+  AddOutcomes(this->stats, "s2", 5, 0, this->now);
+  CHECK_EQUAL(
+      1,
+      FindFailingServers(this->stats, this->server_ids, {}, this->now).size());
   const TimePoint later = this->now + std::chrono::seconds(30);
-  CHECK(FindFailing(this->ledger, this->service, {"s1"}, later).empty());
-  ForgetOutcomes(this->ledger, later);
-  CHECK(this->ledger.servers.empty());
+  CHECK(
+      FindFailingServers(this->stats, this->server_ids, {"s1"}, later).empty());
+  RemoveExpiredOutcomes(this->stats, later);
+  CHECK(this->stats.servers.empty());
 }
