--- a/Bench/BenchPacket.h
+++ b/Bench/BenchPacket.h
@@ -7,14 +7,14 @@
 #include "Backends/Directory.h"
 #include "Flows/FlowTier.h"
 
-/// Packets, rules and backend servers that the bench programs share.
+/// Test packets, rules and backend servers shared by the benchmarks.
 namespace filbertwall::bench {
 
 inline constexpr std::uint8_t kSyn = 0x02;
 inline constexpr std::uint8_t kAck = 0x10;
 inline constexpr Endpoint kVirtual{.ip = 0x0A000002, .port = 80};
 
-/// A Geneve datagram of flow number `flow` with an inner TCP header.
+/// Returns a Geneve datagram with an inner TCP header for flow number `flow`.
 inline std::vector<std::uint8_t> MakePacket(std::uint32_t flow,
                                             std::uint8_t flags) {
   std::vector<std::uint8_t> bytes(8 + 20 + 20);
--- a/Bench/CapacityBench.cc
+++ b/Bench/CapacityBench.cc
@@ -11,7 +11,7 @@
 #include "Node/Node.h"
 #include "Rules/RulesParser.h"
 
-/// Measures how state, messages and processor time grow with the deployment.
+/// Measures how state, messages and CPU time grow with the deployment.
 /// Prints `figure,size,value,unit` for docs/CAPACITY.md.
 namespace filbertwall::bench {
 namespace {
@@ -26,7 +26,7 @@
 
 double HeapBytes() { return static_cast<double>(mallinfo2().uordblks); }
 
-/// Median of nine timings of `work`, in microseconds a call.
+/// Returns the median of nine timings of `work`, in microseconds per call.
 double TimeUs(int calls, const std::function<void()>& work) {
   std::vector<double> timings;
   for (int round = 0; round < 9; ++round) {
--- a/Bench/DecisionBench.cc
+++ b/Bench/DecisionBench.cc
@@ -5,7 +5,7 @@
 #include "Base/Hash.h"
 #include "Bench/BenchPacket.h"
 
-/// Time of one packet's decision against a bare hash-table look-up.
+/// Compares the time to decide on one packet with a plain hash-table lookup.
 namespace filbertwall::bench {
 namespace {
 
@@ -40,7 +40,7 @@
   return fixture;
 }
 
-/// The flow of the next packet, in an order that defeats prefetching.
+/// Returns the flow of the next packet, in an order that defeats prefetching.
 std::uint32_t NextFlow(std::uint32_t& state, std::uint32_t flows) {
   state = state * 1664525U + 1013904223U;
   return static_cast<std::uint32_t>(static_cast<std::uint64_t>(state) * flows >>
--- a/Bench/FleetBench.cc
+++ b/Bench/FleetBench.cc
@@ -5,9 +5,9 @@
 #include "Tests/Fleet/FleetWorld.h"
 #include "Transport/Fragments.h"
 
-/// What a fleet's control costs as it grows: processor time and bytes of one
-/// control instance and one entry instance, decisions and encoding included,
-/// sockets and system calls not.
+/// Measures how the control plane's cost grows with the fleet: CPU time and
+/// bytes per control instance and per entry instance. Includes decisions and
+/// message encoding, but not sockets and system calls.
 ///
 /// Usage: fleet_bench CONTROLS ENTRIES SERVERS
 namespace filbertwall {
@@ -16,7 +16,7 @@
 constexpr Milliseconds kReportInterval{1200};
 constexpr Milliseconds kStep{5};
 
-/// Sums over one phase.
+/// Totals of one phase of the benchmark.
 struct Figures {
   double control_s = 0;
   double entry_s = 0;
@@ -38,7 +38,7 @@
       .count();
 }
 
-/// Encodes each message as it is sent, as a process would.
+/// Encodes each sent message as a real process would, and counts its bytes.
 void CountMessages(FleetLoad& load) {
   load.world.sent = [&load](InstanceAddress from, const SendMessage& effect) {
     const auto start = std::chrono::steady_clock::now();
@@ -54,8 +54,8 @@
   };
 }
 
-/// The servers whose turn it is in this step report.
-void ReportDue(FleetLoad& load, int step) {
+/// Sends the reports of the servers that are due in this step.
+void SendDueReports(FleetLoad& load, int step) {
   const int steps = static_cast<int>(kReportInterval / kStep);
   const auto controls = static_cast<int>(load.world.controls.size());
   for (int i = step % steps; i < load.servers; i += steps) {
@@ -73,7 +73,7 @@
   for (int step = 0; step < steps; ++step) {
     world.now += kStep;
     auto start = std::chrono::steady_clock::now();
-    ReportDue(load, step);
+    SendDueReports(load, step);
     for (auto& [id, instance] : world.controls) {
       if (world.now >= NextDue(instance)) {
         Apply(world, id, ControlInstanceDue{});
--- a/Bench/FlowPolicyBench.cc
+++ b/Bench/FlowPolicyBench.cc
@@ -8,17 +8,17 @@
 #include "Base/Hash.h"
 #include "Bench/BenchPacket.h"
 
-/// Broken flows and imbalance of the ways to place flows, side by side.
+/// Compares broken flows and load imbalance of several placement policies.
 ///
-/// The flow reducers of a few instances hand each other their datagrams
-/// directly; updates reach each instance at a time of its own.
+/// The flow reducers of several instances exchange datagrams directly. Updates
+/// reach each instance at a different time.
 namespace filbertwall::bench {
 namespace {
 
 /// Instances have the ids 1 to 8; the slot of id 0 stays unused.
 constexpr std::uint32_t kInstances = 9;
 
-/// The ways that docs/design/0005-flows.md weighs.
+/// The policies compared in docs/design/0005-flows.md.
 enum class Policy { kRendezvousOnly, kLocalTable, kOwner, kOwnerBalance };
 
 struct Case {
@@ -40,7 +40,7 @@
   std::vector<std::vector<std::size_t>> updates_due;
   std::set<std::uint32_t> down;
   TimePoint now{std::chrono::hours(1)};
-  Endpoint reached;  ///< Where the last packet went.
+  Endpoint reached;  ///< Destination of the last packet.
 };
 
 Endpoint AddressOf(std::uint32_t instance) {
@@ -119,13 +119,14 @@
            bytes);
 }
 
-/// Sends a packet as the fabric would; empty when it reached no server.
+/// Sends a packet to a random running instance, as the network fabric would.
+/// Returns the server reached, or an empty endpoint if there was none.
 Endpoint Spray(World& world, std::uint32_t flow, std::uint8_t flags) {
   std::uint32_t instance = 0;
   do {
     instance = static_cast<std::uint32_t>(world.random() % kInstances);
   } while (world.down.contains(instance));
-  // Updates arrive unevenly: each waits for some packets of its own.
+  // Each pending update is delayed by a random number of packets.
   auto& due = world.updates_due[instance];
   while (!due.empty() && world.random() % 20 == 0) {
     world.updates[due.front()](instance);
@@ -133,7 +134,8 @@
   }
   world.reached = {};
   Deliver(world, instance, MakePacket(flow, flags), {});
-  if (world.reached.port == 0) {  // It waits for answers that do not come.
+  // The packet may be waiting for replies that never arrive.
+  if (world.reached.port == 0) {
     world.now += Milliseconds(200);
     CarryOut(
         world, instance,
--- a/Bench/OverloadBench.cc
+++ b/Bench/OverloadBench.cc
@@ -3,7 +3,7 @@
 
 #include "Bench/OverloadEmulator.h"
 
-/// What callers get when a service is offered more than it can do: by policy,
+/// Measures the results callers see when a service is overloaded, by policy,
 /// load and number of entry instances. Prints tab-separated lines.
 ///
 /// Usage: overload_bench
--- a/Bench/OverloadEmulator.cc
+++ b/Bench/OverloadEmulator.cc
@@ -13,12 +13,12 @@
 namespace filbertwall {
 namespace {
 
-constexpr double kTripMs = 2;
+constexpr double kOneWayDelayMs = 2;
 constexpr double kColdFactor = 1.6;
 constexpr double kWorkSpread = 0.5;
-constexpr std::uint32_t kMostTries = 3;
-/// A caller waits so long before it tries again, and twice as long next time.
-constexpr double kFirstPauseMs = 100;
+constexpr std::uint32_t kMaxAttempts = 3;
+/// Delay before a caller's first retry. It doubles with each further retry.
+constexpr double kInitialBackoffMs = 100;
 
 struct Request {
   double asked_ms = 0;
@@ -28,7 +28,7 @@
   bool in_surge = false;
 };
 
-/// One try of a request, on its way through one instance to one server.
+/// One attempt at a request, through one instance to one server.
 struct Attempt {
   std::size_t request = 0;
   std::uint32_t instance = 0;
@@ -191,7 +191,8 @@
                           .instance = chosen,
                           .server = *server,
                           .opened_ms = this->now_ms};
-    this->At(this->now_ms + kTripMs, [this, attempt] { this->Reach(attempt); });
+    this->At(this->now_ms + kOneWayDelayMs,
+             [this, attempt] { this->Reach(attempt); });
   }
 
   void NoteRefused() {
@@ -203,10 +204,10 @@
 
   void TryAgain(std::size_t index, std::uint32_t OverloadOutcome::*last) {
     const Request& request = this->requests[index];
-    const double pause =
-        kFirstPauseMs * std::pow(2, request.tries - 1) * (0.5 + this->Draw());
+    const double pause = kInitialBackoffMs * std::pow(2, request.tries - 1) *
+                         (0.5 + this->Draw());
     const bool may =
-        request.tries < kMostTries &&
+        request.tries < kMaxAttempts &&
         this->now_ms + pause < request.asked_ms + this->scenario.timeout_ms;
     if (may) {
       this->At(this->now_ms + pause, [this, index] { this->Try(index); });
@@ -219,15 +220,17 @@
     EmulatedServer& server = this->servers[attempt.server];
     Placement& placement = this->instances[attempt.instance].placement;
     if (server.lost) {
-      constexpr double kCopyPauseMs = 200;
-      this->At(attempt.opened_ms + kCopyPauseMs, [this, attempt, &placement] {
-        NoteUnanswered(placement, attempt.server, this->Now());
-        this->requests[attempt.request].tries -= 1;  // A copy is no new try.
-        this->Try(attempt.request);
-      });
+      constexpr double kRetransmitDelayMs = 200;
+      this->At(attempt.opened_ms + kRetransmitDelayMs,
+               [this, attempt, &placement] {
+                 NoteUnanswered(placement, attempt.server, this->Now());
+                 this->requests[attempt.request].tries -=
+                     1;  // A retransmission is not a retry.
+                 this->Try(attempt.request);
+               });
       return;
     }
-    this->At(this->now_ms + 2 * kTripMs, [this, attempt, &placement] {
+    this->At(this->now_ms + 2 * kOneWayDelayMs, [this, attempt, &placement] {
       NoteAnswered(placement, attempt.server, this->Now());
       NoteBegun(this->instances[attempt.instance].admission, 0);
     });
@@ -236,7 +239,7 @@
     } else if (server.queue.size() < this->scenario.queue) {
       server.queue.push_back(attempt);
     } else {
-      this->At(this->now_ms + 3 * kTripMs, [this, attempt, &placement] {
+      this->At(this->now_ms + 3 * kOneWayDelayMs, [this, attempt, &placement] {
         const auto took = Milliseconds(
             static_cast<std::int64_t>(this->now_ms - attempt.opened_ms));
         NoteEnded(placement, attempt.server, true, took, this->Now());
@@ -264,7 +267,7 @@
       server.queue.pop_front();
       this->Begin(next);
     }
-    this->At(this->now_ms + 2 * kTripMs,
+    this->At(this->now_ms + 2 * kOneWayDelayMs,
              [this, attempt] { this->End(attempt); });
   }
 
--- a/Bench/PacketLoad.cc
+++ b/Bench/PacketLoad.cc
@@ -12,11 +12,11 @@
 #include "Base/Text.h"
 #include "Bench/BenchPacket.h"
 
-/// Sends packets of held flows at an instance (or a bare relay, which this
-/// program can be too) and counts what reaches the backend server.
+/// Sends packets of established flows to an instance, or to a plain relay, and
+/// counts the packets that reach the backend server. Can also be the relay.
 ///
-/// packet_load send TARGET RECEIVER FLOWS SECONDS: prints packets a second.
-/// packet_load relay LISTEN TARGET: passes datagrams on, batched, until killed.
+/// packet_load send TARGET RECEIVER FLOWS SECONDS: prints packets per second.
+/// packet_load relay LISTEN TARGET: forwards datagrams in batches until killed.
 namespace filbertwall::bench {
 namespace {
 
@@ -129,7 +129,7 @@
   std::printf("%.0f\n", static_cast<double>(received - before) / took.count());
   std::fflush(stdout);
   over = true;
-  std::_Exit(0);  // The counter may wait for a datagram that never comes.
+  std::_Exit(0);  // The counter may block on a receive forever.
 }
 
 }  // namespace
--- a/Bench/control_bench.py
+++ b/Bench/control_bench.py
@@ -1,7 +1,8 @@
-"""Control, measured on real processes: time to force, leader change, bytes.
+"""Measures rules activation time, leader changes and bytes on real processes.
 
-Eight instances (three control), 18 backend servers. Prints one line a figure:
-name, count, median, p99, most, unit. Usage: control_bench.py [CHANGES]
+Eight instances (three control), 18 backend servers. Prints one line per
+figure: name, count, median, p99, maximum, unit.
+Usage: control_bench.py [CHANGES]
 """
 import datetime
 import pathlib
@@ -22,7 +23,7 @@
 
 
 def events(deployment, number):
-    """(time, event, text) of each log record of an instance."""
+    """Returns (time, event, text) of each log record of an instance."""
     text = (deployment.folder / ("log-%d.txt" % number)).read_text()
     found = []
     for line in text.splitlines():
@@ -43,7 +44,7 @@
 
 
 def in_force_times(deployment, versions, instances):
-    """Milliseconds from the first instance in force to the last, a version."""
+    """Returns, per version, the ms from first to last instance in force."""
     times = {}
     for number in instances:
         for moment, event, text in events(deployment, number):
@@ -125,7 +126,7 @@
 
 
 def measure_cut(deployment, relay, first):
-    """Instance 8 is cut off; the others go on; it is told after the cut."""
+    """Isolates instance 8 and measures when it catches up afterwards."""
     rest = [n for n in deployment.instances if n != 8]
     relay.set(relays.links_between([8], rest), "silent")
     submit_many(deployment, first, 20)
--- a/Bench/packet_bench.py
+++ b/Bench/packet_bench.py
@@ -1,6 +1,6 @@
-"""Packets a second through a real instance, against a bare relay.
+"""Compares packets per second of a real instance and a plain relay.
 
-Prints a line a measurement: path, flows, packets a second (median of five).
+Prints a line per measurement: path, flows, packets per second (median of 5).
 Usage: packet_bench.py [SECONDS]
 """
 import json
--- a/Bench/requests_bench.py
+++ b/Bench/requests_bench.py
@@ -1,7 +1,7 @@
-"""Requests under load: real instances, 14 servers of 3 slots and 50 ms.
+"""Measures requests under load: real instances, 14 servers, 3 slots, 50 ms.
 
-Callers send at a fixed rate whatever comes back: half look-ups (interactive,
-deadline 1.5 s), half orders with keys (bulk, deadline 1.5 s). Prints a line a
+Callers send at a fixed rate regardless of replies: half lookups (interactive,
+deadline 1.5 s), half orders with keys (bulk, deadline 1.5 s). Prints a line per
 load: kind, offered share of capacity, sent, goodput share, p50, p99, outcomes.
 Usage: requests_bench.py [SECONDS]
 """
@@ -58,7 +58,7 @@
             chance.choice(addresses), head.encode(), results, kind)))
     over = time.monotonic()
     await asyncio.gather(*tasks)
-    # Goodput counts what was complete while the load was still offered.
+    # Goodput counts only requests completed while load was still offered.
     done = sum(1 for values in results.values() for outcome, _, ended in values
                if outcome == "complete" and ended <= over)
     return results, over - started, done
