--- a/Bench/BenchPacket.h
+++ b/Bench/BenchPacket.h
@@ -59,7 +59,7 @@
   announcement.set_slots(3);
   announcement.set_phase(phase);
   announcement.set_sequence(sequence);
-  TakeAnnouncement(directory, record, now);
+  ApplyAnnouncement(directory, record, now);
 }
 
 }  // namespace filbertwall::bench
--- a/Bench/CapacityBench.cc
+++ b/Bench/CapacityBench.cc
@@ -43,18 +43,18 @@
 }
 
 Node MakeNodeWithPeers(std::uint32_t peers) {
-  NodeParts parts{.incarnation = 77};
-  parts.settings.id = 1;
-  parts.settings.data_centre = "dc";
-  parts.settings.roles.entry = true;
+  NodeInitialState initial_state{.incarnation = 77};
+  initial_state.settings.id = 1;
+  initial_state.settings.data_centre = "dc";
+  initial_state.settings.roles.entry = true;
   for (std::uint32_t id = 2; id < peers + 2; ++id) {
-    parts.settings.peers[id] =
+    initial_state.settings.peers[id] =
         PeerSettings{.id = id,
                      .packet_address = {.ip = id, .port = 6081},
                      .data_centre = "dc",
                      .roles = {.entry = true}};
   }
-  return MakeNode(parts);
+  return MakeNode(initial_state);
 }
 
 MessageArrived HelloFrom(std::uint32_t id) {
@@ -125,10 +125,10 @@
                    sequence += 1;
                  }),
           "us");
-    Print(
-        "directory_message", backends,
-        static_cast<double>(DirectoryMessage(directory, kStart).ByteSizeLong()),
-        "bytes");
+    Print("directory_message", backends,
+          static_cast<double>(
+              BuildDirectoryMessage(directory, kStart).ByteSizeLong()),
+          "bytes");
   }
 }
 
@@ -180,7 +180,7 @@
                [&] {
                  wire::RulesFile old_file;
                  old_file.set_version(static_cast<std::uint64_t>(versions / 2));
-                 RuleOn(state, old_file);
+                 DecideRulesFile(state, old_file);
                }),
         "us");
   }
@@ -195,7 +195,7 @@
     for (int i = 0; i < records; ++i) {
       claim.mutable_record()->set_key("catalogue\norder-" + std::to_string(i));
       claim.mutable_record()->set_attempt(static_cast<std::uint64_t>(i) + 1);
-      TakeClaim(log, claim, kStart);
+      ProcessClaim(log, claim, kStart);
     }
     const auto size = static_cast<std::size_t>(records);
     Print("order_memory", size, HeapBytes() - before, "bytes");
@@ -204,7 +204,7 @@
           TimeUs(1000,
                  [&] {
                    claim.mutable_record()->set_attempt(attempt++);
-                   TakeClaim(log, claim, kStart);
+                   ProcessClaim(log, claim, kStart);
                  }),
           "us");
   }
--- a/Bench/DecisionBench.cc
+++ b/Bench/DecisionBench.cc
@@ -18,7 +18,7 @@
   std::set<std::uint32_t> silent;
   FlowTier tier{.self = 1, .limit = 4000000};
 
-  FlowContext Context() {
+  FlowEnvironment Environment() {
     return {.rules = this->rules,
             .directory = this->directory,
             .silent = this->silent,
@@ -35,7 +35,7 @@
     std::vector<std::uint8_t> packet = MakePacket(flow, kSyn);
     PacketsArrived event;
     event.datagrams.push_back({.bytes = packet});
-    Reduce(fixture.tier, event, fixture.Context());
+    Reduce(fixture.tier, event, fixture.Environment());
   }
   return fixture;
 }
@@ -64,7 +64,8 @@
       datagram.bytes = packets[next];
       next = (next + 1) % kDistinct;
     }
-    benchmark::DoNotOptimize(Reduce(fixture.tier, event, fixture.Context()));
+    benchmark::DoNotOptimize(
+        Reduce(fixture.tier, event, fixture.Environment()));
   }
   state.SetItemsProcessed(state.iterations() *
                           static_cast<std::int64_t>(kBatch));
@@ -100,13 +101,13 @@
 
 void NewFlowChoice(benchmark::State& state) {
   Fixture fixture = MakeFixture(0, static_cast<std::uint32_t>(state.range(0)));
-  const FlowContext context = fixture.Context();
+  const FlowEnvironment environment = fixture.Environment();
   const ServiceRule& service = fixture.rules.services.at("proof");
   FlowKey key{.destination = kVirtual, .protocol = 6};
   for ([[maybe_unused]] auto _ : state) {
     key.source.ip += 1;
     benchmark::DoNotOptimize(
-        ChooseForFlow(fixture.tier, context, service, key));
+        ChooseFlowBackend(fixture.tier, environment, service, key));
   }
 }
 
--- a/Bench/FleetBench.cc
+++ b/Bench/FleetBench.cc
@@ -40,7 +40,8 @@
 
 /// Encodes each sent message as a real process would, and counts its bytes.
 void CountMessages(FleetLoad& load) {
-  load.world.sent = [&load](InstanceAddress from, const SendMessage& effect) {
+  load.world.on_send = [&load](InstanceAddress from,
+                               const SendMessage& effect) {
     const auto start = std::chrono::steady_clock::now();
     std::size_t bytes = 0;
     for (const std::string& datagram :
@@ -76,14 +77,14 @@
     SendDueReports(load, step);
     for (auto& [id, instance] : world.controls) {
       if (world.now >= NextDue(instance)) {
-        Apply(world, id, ControlInstanceDue{});
+        Apply(world, id, ControlInstanceTick{});
       }
     }
     load.figures.control_s += SecondsSince(start);
     start = std::chrono::steady_clock::now();
     for (auto& [id, instance] : world.entries) {
       if (world.now >= NextDue(instance)) {
-        Apply(world, id, EntryDue{});
+        Apply(world, id, EntryTick{});
       }
     }
     load.figures.entry_s += SecondsSince(start);
--- a/Bench/FlowPolicyBench.cc
+++ b/Bench/FlowPolicyBench.cc
@@ -78,7 +78,7 @@
   return world;
 }
 
-FlowContext ContextOf(World& world, std::uint32_t instance) {
+FlowEnvironment EnvironmentOf(World& world, std::uint32_t instance) {
   return {.rules = world.rules,
           .directory = world.directories[instance],
           .silent = world.silent[instance],
@@ -115,7 +115,7 @@
   PacketsArrived event;
   event.datagrams.push_back({.bytes = bytes, .from = from});
   CarryOut(world, instance,
-           Reduce(world.tiers[instance], event, ContextOf(world, instance)),
+           Reduce(world.tiers[instance], event, EnvironmentOf(world, instance)),
            bytes);
 }
 
@@ -137,15 +137,15 @@
   // The packet may be waiting for replies that never arrive.
   if (world.reached.port == 0) {
     world.now += Milliseconds(200);
-    CarryOut(
-        world, instance,
-        Reduce(world.tiers[instance], FlowTick{}, ContextOf(world, instance)),
-        {});
+    CarryOut(world, instance,
+             Reduce(world.tiers[instance], FlowTick{},
+                    EnvironmentOf(world, instance)),
+             {});
     for (std::uint32_t other = 0; other < kInstances; ++other) {
       if (!world.down.contains(other)) {
         CarryOut(
             world, other,
-            Reduce(world.tiers[other], FlowTick{}, ContextOf(world, other)),
+            Reduce(world.tiers[other], FlowTick{}, EnvironmentOf(world, other)),
             {});
       }
     }
@@ -197,7 +197,7 @@
     Flush(world);
     CarryOut(world, instance,
              Reduce(world.tiers[instance], FlowHandover{},
-                    ContextOf(world, instance)),
+                    EnvironmentOf(world, instance)),
              {});
   }
   world.down.insert(instance);
--- a/Bench/OverloadBench.cc
+++ b/Bench/OverloadBench.cc
@@ -20,7 +20,7 @@
   constexpr std::uint64_t kSeeds = 5;
   OverloadOutcome sum;
   for (scenario.seed = 1; scenario.seed <= kSeeds; ++scenario.seed) {
-    const OverloadOutcome one = PlayOverload(scenario, policy.policy);
+    const OverloadOutcome one = SimulateOverload(scenario, policy.policy);
     sum.asked += one.asked;
     sum.in_time += one.in_time;
     sum.late += one.late;
--- a/Bench/OverloadEmulator.cc
+++ b/Bench/OverloadEmulator.cc
@@ -177,7 +177,7 @@
         !Admit(instance.admission,
                {.service = 0,
                 .caller = static_cast<std::uint32_t>(request.caller),
-                .repeatable = !request.order},
+                .retryable = !request.order},
                this->Now())) {
       this->NoteRefused();
       this->TryAgain(index, &OverloadOutcome::refused);
@@ -185,8 +185,8 @@
     }
     const auto server =
         ChooseServer(instance.placement,
-                     {.service = 0, .repeatable = !request.order}, this->Now());
-    NoteOpening(instance.placement.servers[*server], this->Now());
+                     {.service = 0, .retryable = !request.order}, this->Now());
+    RecordOpening(instance.placement.servers[*server], this->Now());
     const Attempt attempt{.request = index,
                           .instance = chosen,
                           .server = *server,
@@ -223,7 +223,7 @@
       constexpr double kRetransmitDelayMs = 200;
       this->At(attempt.opened_ms + kRetransmitDelayMs,
                [this, attempt, &placement] {
-                 NoteUnanswered(placement, attempt.server, this->Now());
+                 RecordUnanswered(placement, attempt.server, this->Now());
                  this->requests[attempt.request].tries -=
                      1;  // A retransmission is not a retry.
                  this->Try(attempt.request);
@@ -231,8 +231,8 @@
       return;
     }
     this->At(this->now_ms + 2 * kOneWayDelayMs, [this, attempt, &placement] {
-      NoteAnswered(placement, attempt.server, this->Now());
-      NoteBegun(this->instances[attempt.instance].admission, 0);
+      RecordAnswered(placement, attempt.server, this->Now());
+      AddFlowInFlight(this->instances[attempt.instance].admission, 0);
     });
     if (server.busy < this->scenario.slots) {
       this->Begin(attempt);
@@ -242,8 +242,8 @@
       this->At(this->now_ms + 3 * kOneWayDelayMs, [this, attempt, &placement] {
         const auto took = Milliseconds(
             static_cast<std::int64_t>(this->now_ms - attempt.opened_ms));
-        NoteEnded(placement, attempt.server, true, took, this->Now());
-        NoteLeft(this->instances[attempt.instance].admission, 0);
+        RecordFlowEnd(placement, attempt.server, true, took, this->Now());
+        RemoveFlowInFlight(this->instances[attempt.instance].admission, 0);
         this->TryAgain(attempt.request, &OverloadOutcome::shed);
       });
     }
@@ -275,9 +275,9 @@
     EmulatedInstance& instance = this->instances[attempt.instance];
     const auto took = Milliseconds(
         static_cast<std::int64_t>(this->now_ms - attempt.opened_ms));
-    NoteEnded(instance.placement, attempt.server, true, took, this->Now());
-    NoteLeft(instance.admission, 0);
-    NoteServed(
+    RecordFlowEnd(instance.placement, attempt.server, true, took, this->Now());
+    RemoveFlowInFlight(instance.admission, 0);
+    RecordFlowDuration(
         instance.admission, 0, took,
         Milliseconds(static_cast<std::int64_t>(this->scenario.objective_ms)),
         this->Now());
@@ -307,8 +307,8 @@
 
 }  // namespace
 
-OverloadOutcome PlayOverload(const OverloadScenario& scenario,
-                             const OverloadPolicy& policy) {
+OverloadOutcome SimulateOverload(const OverloadScenario& scenario,
+                                 const OverloadPolicy& policy) {
   return Emulator(scenario, policy).Play();
 }
 
--- a/Bench/OverloadEmulator.h
+++ b/Bench/OverloadEmulator.h
@@ -47,7 +47,7 @@
   double capacity = 0;  ///< Requests the servers can serve in the surge.
 };
 
-OverloadOutcome PlayOverload(const OverloadScenario& scenario,
-                             const OverloadPolicy& policy);
+OverloadOutcome SimulateOverload(const OverloadScenario& scenario,
+                                 const OverloadPolicy& policy);
 
 }  // namespace filbertwall
--- a/Source/Admission/Admission.cc
+++ b/Source/Admission/Admission.cc
@@ -41,7 +41,8 @@
 constexpr Milliseconds kMaxMeasurementAge{1500};
 constexpr std::uint64_t kDrawRange = 1U << 20U;
 
-ServicePace& MeasurementsOf(Admission& admission, std::uint32_t service) {
+ServiceMeasurements& MeasurementsOf(Admission& admission,
+                                    std::uint32_t service) {
   if (service >= admission.services.size()) {
     admission.services.resize(service + 1);
   }
@@ -51,7 +52,7 @@
 double ToDouble(Milliseconds time) { return static_cast<double>(time.count()); }
 
 /// Returns `recent_ends`, decayed to `now`.
-double RecentEnds(const ServicePace& measurements, TimePoint now) {
+double RecentEnds(const ServiceMeasurements& measurements, TimePoint now) {
   const double elapsed_ms =
       std::chrono::duration<double, std::milli>(now - measurements.last_end_at)
           .count();
@@ -59,14 +60,16 @@
          std::exp(-elapsed_ms / ToDouble(kEndsDecayTime));
 }
 
-bool HasRecentMeasurements(const ServicePace& measurements, TimePoint now) {
+bool HasRecentMeasurements(const ServiceMeasurements& measurements,
+                           TimePoint now) {
   return measurements.objective_ms > 0 &&
          now - measurements.last_end_at <= kMaxMeasurementAge;
 }
 
 /// Returns the time until the flows in flight have ended at the current rate of
 /// ends, divided by the objective.
-double SlownessFromInFlight(const ServicePace& measurements, TimePoint now) {
+double SlownessFromInFlight(const ServiceMeasurements& measurements,
+                            TimePoint now) {
   const double ends_per_ms =
       RecentEnds(measurements, now) / ToDouble(kEndsDecayTime);
   const double wait_ms = measurements.in_flight / ends_per_ms;
@@ -75,7 +78,8 @@
 
 /// Returns the moving average of durations divided by the objective. It decays
 /// once no flow has ended for an unusually long time.
-double SlownessFromDurations(const ServicePace& measurements, TimePoint now) {
+double SlownessFromDurations(const ServiceMeasurements& measurements,
+                             TimePoint now) {
   const double since_end_ms =
       std::chrono::duration<double, std::milli>(now - measurements.last_end_at)
           .count();
@@ -104,7 +108,7 @@
   if (service >= admission.services.size()) {
     return 0;
   }
-  const ServicePace& measurements = admission.services[service];
+  const ServiceMeasurements& measurements = admission.services[service];
   if (!HasRecentMeasurements(measurements, now)) {
     return 0;
   }
@@ -126,7 +130,7 @@
            TimePoint now) {
   const double slowness = ExpectedSlowness(admission, request.service, now);
   const double share =
-      AdmittedShare(request.repeatable ? kRetryable : kNonRetryable, slowness);
+      AdmittedShare(request.retryable ? kRetryable : kNonRetryable, slowness);
   const std::uint64_t draw =
       MixHash(request.caller, admission.round) % kDrawRange;
   // An instance without flows in flight does not contribute to the overload,
@@ -137,22 +141,23 @@
   AdmissionCounters& counters = admission.counters;
   counters.admitted += admitted ? 1 : 0;
   counters.refused += admitted ? 0 : 1;
-  counters.refused_orders += !admitted && !request.repeatable ? 1 : 0;
+  counters.refused_non_retryable += !admitted && !request.retryable ? 1 : 0;
   return admitted;
 }
 
-void NoteBegun(Admission& admission, std::uint32_t service) {
+void AddFlowInFlight(Admission& admission, std::uint32_t service) {
   MeasurementsOf(admission, service).in_flight += 1;
 }
 
-void NoteLeft(Admission& admission, std::uint32_t service) {
-  ServicePace& measurements = MeasurementsOf(admission, service);
+void RemoveFlowInFlight(Admission& admission, std::uint32_t service) {
+  ServiceMeasurements& measurements = MeasurementsOf(admission, service);
   measurements.in_flight -= measurements.in_flight > 0 ? 1 : 0;
 }
 
-void NoteServed(Admission& admission, std::uint32_t service,
-                Milliseconds duration, Milliseconds objective, TimePoint now) {
-  ServicePace& measurements = MeasurementsOf(admission, service);
+void RecordFlowDuration(Admission& admission, std::uint32_t service,
+                        Milliseconds duration, Milliseconds objective,
+                        TimePoint now) {
+  ServiceMeasurements& measurements = MeasurementsOf(admission, service);
   const double slowness = ToDouble(duration) / ToDouble(objective);
   if (HasRecentMeasurements(measurements, now)) {
     measurements.recent_ends = RecentEnds(measurements, now) + 1;
@@ -167,8 +172,8 @@
   measurements.last_end_at = now;
 }
 
-void ForgetMeasured(Admission& admission) {
-  for (ServicePace& measurements : admission.services) {
+void ResetMeasurements(Admission& admission) {
+  for (ServiceMeasurements& measurements : admission.services) {
     measurements.objective_ms = 0;
   }
 }
--- a/Source/Admission/Admission.h
+++ b/Source/Admission/Admission.h
@@ -22,7 +22,7 @@
 namespace filbertwall {
 
 /// What one entry instance has measured of the flows of a service.
-struct ServicePace {
+struct ServiceMeasurements {
   /// Flows that a server has accepted and that have neither ended nor become
   /// overdue, that is, stayed open so long that they count as failed.
   std::uint32_t in_flight = 0;
@@ -39,11 +39,11 @@
   std::uint64_t admitted = 0;
   std::uint64_t refused = 0;
   /// Refused flows whose requests must not be retried.
-  std::uint64_t refused_orders = 0;
+  std::uint64_t refused_non_retryable = 0;
 };
 
 struct Admission {
-  std::vector<ServicePace> services;  ///< By service index.
+  std::vector<ServiceMeasurements> services;  ///< By service index.
   /// Number of the current time interval. Determines together with the caller's
   /// address which callers are refused first. Must be the same at all
   /// instances.
@@ -55,7 +55,7 @@
 struct AdmissionRequest {
   std::uint32_t service = 0;
   std::uint32_t caller = 0;  ///< IPv4 address of the caller.
-  bool repeatable = false;   ///< The caller may retry the request.
+  bool retryable = false;    ///< The caller may retry the request.
 };
 
 /// Returns the expected duration of a flow that is opened now, divided by its
@@ -72,19 +72,20 @@
            TimePoint now);
 
 /// Adds a flow that a server has accepted to the flows in flight.
-void NoteBegun(Admission& admission, std::uint32_t service);
+void AddFlowInFlight(Admission& admission, std::uint32_t service);
 
 /// Removes a flow from the flows in flight, because it has ended or is overdue.
-void NoteLeft(Admission& admission, std::uint32_t service);
+void RemoveFlowInFlight(Admission& admission, std::uint32_t service);
 
 /// Records the duration of a flow that has ended and was not overdue.
-/// `NoteLeft` must be called for it as well. Precondition: `objective` is
-/// positive.
-void NoteServed(Admission& admission, std::uint32_t service,
-                Milliseconds duration, Milliseconds objective, TimePoint now);
+/// `RemoveFlowInFlight` must be called for it as well. Precondition:
+/// `objective` is positive.
+void RecordFlowDuration(Admission& admission, std::uint32_t service,
+                        Milliseconds duration, Milliseconds objective,
+                        TimePoint now);
 
 /// Discards all measurements. Called after the process was stalled, since the
 /// durations measured during a stall do not show the speed of the servers.
-void ForgetMeasured(Admission& admission);
+void ResetMeasurements(Admission& admission);
 
 }  // namespace filbertwall
--- a/Source/Backends/Directory.cc
+++ b/Source/Backends/Directory.cc
@@ -13,7 +13,7 @@
                         const std::string& service) {
   return backend.announcement.service() == service &&
          backend.announcement.phase() == wire::READY &&
-         WeightOf(rules, service, backend.address) > 0;
+         GetBackendWeight(rules, service, backend.address) > 0;
 }
 
 }  // namespace
@@ -35,8 +35,8 @@
   return "";
 }
 
-bool TakeAnnouncement(Directory& directory, const wire::BackendRecord& record,
-                      TimePoint now) {
+bool ApplyAnnouncement(Directory& directory, const wire::BackendRecord& record,
+                       TimePoint now) {
   const wire::Announcement& announcement = record.announcement();
   const Endpoint address = *ParseEndpoint(announcement.address());
   const TimePoint announced_at = now - Milliseconds(record.age_ms());
@@ -65,7 +65,7 @@
   return true;
 }
 
-void ForgetSilent(Directory& directory, TimePoint now) {
+void RemoveExpiredBackends(Directory& directory, TimePoint now) {
   const Milliseconds limit = directory.lease * kLeasesBeforeRemoval;
   for (auto item = directory.backends.begin();
        item != directory.backends.end();) {
@@ -90,7 +90,8 @@
   return MixHash(MixHash(hash, announcement.phase()), announcement.slots());
 }
 
-wire::Directory DirectoryMessage(const Directory& directory, TimePoint now) {
+wire::Directory BuildDirectoryMessage(const Directory& directory,
+                                      TimePoint now) {
   wire::Directory message;
   for (const auto& [address, backend] : directory.backends) {
     wire::BackendRecord& record = *message.add_records();
@@ -114,10 +115,10 @@
          (lease_valid || recently_succeeded);
 }
 
-std::vector<const Backend*> CandidatesFor(const Directory& directory,
-                                          const Rules& rules,
-                                          const std::string& service,
-                                          TimePoint now) {
+std::vector<const Backend*> FindCandidates(const Directory& directory,
+                                           const Rules& rules,
+                                           const std::string& service,
+                                           TimePoint now) {
   std::vector<const Backend*> usable;
   std::vector<const Backend*> lapsed;
   for (const auto& [address, backend] : directory.backends) {
--- a/Source/Backends/Directory.h
+++ b/Source/Backends/Directory.h
@@ -55,12 +55,12 @@
 /// nothing if an announcement of the server with the same or a later sequence
 /// number is known.
 /// Precondition: `CheckAnnouncement` returns an empty string.
-bool TakeAnnouncement(Directory& directory, const wire::BackendRecord& record,
-                      TimePoint now);
+bool ApplyAnnouncement(Directory& directory, const wire::BackendRecord& record,
+                       TimePoint now);
 
 /// Removes backend servers without an announcement for six leases. Keeps those
 /// with requests of this instance in flight.
-void ForgetSilent(Directory& directory, TimePoint now);
+void RemoveExpiredBackends(Directory& directory, TimePoint now);
 
 /// Returns a hash of the server's address, service, phase and slots. Instances
 /// that know the same servers with the same values thus have the same
@@ -69,7 +69,8 @@
 
 /// Returns the records of all servers with their age at `now`. They are sent to
 /// an instance whose directory differs.
-wire::Directory DirectoryMessage(const Directory& directory, TimePoint now);
+wire::Directory BuildDirectoryMessage(const Directory& directory,
+                                      TimePoint now);
 
 /// Returns whether the server announces the service as READY and has a valid
 /// lease. A server whose lease has lapsed also counts as usable if this
@@ -80,9 +81,9 @@
 /// Returns the usable servers of the service with a weight above 0. If there
 /// are none, returns the READY servers with a lapsed lease and a weight above
 /// 0, since an attempt there may still succeed.
-std::vector<const Backend*> CandidatesFor(const Directory& directory,
-                                          const Rules& rules,
-                                          const std::string& service,
-                                          TimePoint now);
+std::vector<const Backend*> FindCandidates(const Directory& directory,
+                                           const Rules& rules,
+                                           const std::string& service,
+                                           TimePoint now);
 
 }  // namespace filbertwall
--- a/Source/Base/ExitCode.h
+++ b/Source/Base/ExitCode.h
@@ -8,7 +8,7 @@
   kExitUsage = 2,
   kExitFindings = 3,
   kExitRefused = 4,
-  kExitUnknown = 5,
+  kExitUnknownOutcome = 5,
   kExitUnreachable = 6,
   kExitNetwork = 7,
   kExitDisk = 8,
--- a/Source/Commands/Commands.cc
+++ b/Source/Commands/Commands.cc
@@ -113,8 +113,8 @@
         return {};
       }
     }
-    return Ask(this->to.getValue(), this->server_key.getValue(), keys, request,
-               kReplyTimeout);
+    return SendRequest(this->to.getValue(), this->server_key.getValue(), keys,
+                       request, kReplyTimeout);
   }
 };
 
@@ -149,7 +149,7 @@
   if (!checked) {
     return kExitFindings;
   }
-  const std::string error = FormatFolder(checked->settings);
+  const std::string error = FormatDataFolder(checked->settings);
   if (!error.empty()) {
     std::cerr << "error: " << error << "\n";
     return kExitDisk;
@@ -207,7 +207,7 @@
     default:
       std::cerr << "unknown: " << reply.reason()
                 << " (resubmitting the same file is safe)\n";
-      return kExitUnknown;
+      return kExitUnknownOutcome;
   }
 }
 
--- a/Source/Control/ControlState.cc
+++ b/Source/Control/ControlState.cc
@@ -68,12 +68,13 @@
   }
 }
 
-Ruling RuleOn(const wire::ControlState& state, const wire::RulesFile& file) {
+RulesDecision DecideRulesFile(const wire::ControlState& state,
+                              const wire::RulesFile& file) {
   if (file.version() > state.rules().version()) {
     return {};
   }
   if (file.version() < state.history_floor()) {
-    return {.kind = Ruling::Kind::kForgotten,
+    return {.kind = RulesDecision::Kind::kOutsideHistory,
             .reason = "version " + std::to_string(file.version()) +
                       " is older than the retained history"};
   }
@@ -84,18 +85,18 @@
         return entry.version() < version;
       });
   if (record == history.end() || record->version() != file.version()) {
-    return {.kind = Ruling::Kind::kRefused,
+    return {.kind = RulesDecision::Kind::kRefused,
             .reason = "version " + std::to_string(file.version()) +
                       " is lower than version " +
                       std::to_string(state.rules().version()) +
                       ", accepted from " + state.rules().submitter()};
   }
   if (record->digest() == file.digest()) {
-    return {.kind = Ruling::Kind::kAccepted,
+    return {.kind = RulesDecision::Kind::kAccepted,
             .reason = "version " + std::to_string(file.version()) +
                       ", accepted from " + record->submitter()};
   }
-  return {.kind = Ruling::Kind::kRefused,
+  return {.kind = RulesDecision::Kind::kRefused,
           .reason = "version " + std::to_string(file.version()) +
                     " was already accepted from " + record->submitter() +
                     " with different content"};
--- a/Source/Control/ControlState.h
+++ b/Source/Control/ControlState.h
@@ -14,9 +14,9 @@
 constexpr int kHistoryLimit = 100000;
 
 /// The decision on a submitted rules file, as found in the committed history.
-struct Ruling {
-  enum class Kind { kOpen, kAccepted, kRefused, kForgotten };
-  Kind kind = Kind::kOpen;
+struct RulesDecision {
+  enum class Kind { kUndecided, kAccepted, kRefused, kOutsideHistory };
+  Kind kind = Kind::kUndecided;
   std::string reason;
 };
 
@@ -24,10 +24,12 @@
 void ApplyEntry(wire::ControlState& state, const wire::Entry& entry);
 
 /// Looks up the decision on a rules file in the committed history only.
-/// kAccepted and kRefused are final, whichever instance returns them. kOpen: no
-/// decision was made yet and the file may be proposed. kForgotten: the version
-/// is older than the retained history, so the decision is no longer known.
-Ruling RuleOn(const wire::ControlState& state, const wire::RulesFile& file);
+/// kAccepted and kRefused are final, whichever instance returns them.
+/// kUndecided: no decision was made yet and the file may be proposed.
+/// kOutsideHistory: the version is older than the retained history, so the
+/// decision is no longer known.
+RulesDecision DecideRulesFile(const wire::ControlState& state,
+                              const wire::RulesFile& file);
 
 /// Whether `incarnation` of `instance` is a voter in `state`.
 bool IsVoter(const wire::ControlState& state, std::uint32_t instance,
--- a/Source/Control/Replica.cc
+++ b/Source/Control/Replica.cc
@@ -13,19 +13,19 @@
 /// requests, in case it is no longer a voter.
 constexpr Milliseconds kLeaderlessTimeout{4000};
 
-/// Returns a pseudo-random delay below `election_spread`, so that two replicas
+/// Returns a pseudo-random delay below `election_jitter`, so that two replicas
 /// rarely start an election at the same time.
 Milliseconds ElectionJitter(const Replica& replica) {
   const std::uint64_t hash =
       MixHash(MixHash(replica.config.self, replica.incarnation),
               replica.highest_round_seen);
-  return Milliseconds(hash % replica.config.election_spread.count());
+  return Milliseconds(hash % replica.config.election_jitter.count());
 }
 
 /// Steps down if the lease of this leader has expired. This runs before any
 /// event is handled, since a suspended process may resume long after the end of
 /// its lease. A new leader has one lease duration to obtain its first lease.
-void ExpireLeadership(ReduceContext& context) {
+void ExpireLeadership(ReplicaContext& context) {
   Replica& replica = context.replica;
   const bool initial_lease_elapsed =
       context.now >= replica.elected_at + replica.config.lease;
@@ -35,13 +35,14 @@
   }
 }
 
-void HandleStarted(ReduceContext& context) {
+void HandleStarted(ReplicaContext& context) {
   Replica& replica = context.replica;
   replica.leaderless_since = context.now;
   // A lease granted before the restart is not stored on disk, so this replica
-  // assumes that it granted one that ends after `restart_wait`.
-  replica.lease_granted_until = context.now + replica.config.restart_wait;
-  replica.election_at = replica.lease_granted_until + ElectionJitter(replica);
+  // assumes that it granted one that ends after `restart_vote_delay`.
+  replica.lease_granted_until = context.now + replica.config.restart_vote_delay;
+  replica.next_election_at =
+      replica.lease_granted_until + ElectionJitter(replica);
   const bool only_voter =
       IsVoter(replica) && replica.committed.members_size() == 1;
   if (only_voter) {
@@ -49,14 +50,14 @@
   }
 }
 
-void HandleTick(ReduceContext& context) {
+void HandleTick(ReplicaContext& context) {
   Replica& replica = context.replica;
   if (!IsVoter(replica)) {
     RequestJoin(context);
     return;
   }
   if (replica.role == ReplicaRole::kLeader) {
-    if (context.now >= replica.heartbeat_at) {
+    if (context.now >= replica.next_heartbeat_at) {
       SendHeartbeats(context);
     }
     UpdateMembership(context);
@@ -70,12 +71,12 @@
     // been replaced.
     RequestJoin(context);
   }
-  if (context.now >= replica.election_at) {
+  if (context.now >= replica.next_election_at) {
     StartElection(context);
   }
 }
 
-void HandleReceived(ReduceContext& context, const ControlReceived& event) {
+void HandleReceived(ReplicaContext& context, const ControlReceived& event) {
   Replica& replica = context.replica;
   const wire::ControlMessage& message = event.message;
   const bool has_no_state = replica.committed.cluster() == 0;
@@ -143,7 +144,7 @@
 }
 
 struct EventVisitor {
-  ReduceContext& context;
+  ReplicaContext& context;
   void operator()(const ControlStarted&) { HandleStarted(this->context); }
   void operator()(const ControlTick&) { HandleTick(this->context); }
   void operator()(const ControlReceived& event) {
@@ -159,7 +160,7 @@
 std::vector<ControlEffect> Reduce(Replica& replica, const ControlEvent& event,
                                   TimePoint now) {
   std::vector<ControlEffect> effects;
-  ReduceContext context{.replica = replica, .now = now, .effects = effects};
+  ReplicaContext context{.replica = replica, .now = now, .effects = effects};
   ExpireLeadership(context);
   std::visit(EventVisitor{.context = context}, event);
   return effects;
@@ -189,7 +190,7 @@
       std::max(replica.highest_round_seen, replica.promised_ballot.round());
 }
 
-wire::DurableRecord FullRecord(const Replica& replica) {
+wire::DurableRecord SnapshotRecord(const Replica& replica) {
   wire::DurableRecord record;
   record.set_incarnation(replica.incarnation);
   *record.mutable_promised() = replica.promised_ballot;
@@ -223,7 +224,7 @@
   return IsVoter(replica.committed, replica.config.self, replica.incarnation);
 }
 
-bool KnowsNewest(const Replica& replica, TimePoint now, Milliseconds limit) {
+bool HasFreshState(const Replica& replica, TimePoint now, Milliseconds limit) {
   if (replica.role == ReplicaRole::kLeader) {
     return HasLease(replica, now);
   }
@@ -249,9 +250,9 @@
   return record;
 }
 
-wire::DurableRecord FormatRecord(std::uint32_t instance,
-                                 std::uint64_t incarnation,
-                                 std::uint64_t cluster) {
+wire::DurableRecord SingleVoterRecord(std::uint32_t instance,
+                                      std::uint64_t incarnation,
+                                      std::uint64_t cluster) {
   wire::DurableRecord record;
   record.set_incarnation(incarnation);
   record.mutable_state()->set_cluster(cluster);
@@ -261,7 +262,7 @@
   return record;
 }
 
-void FollowLeader(ReduceContext& context, std::uint32_t leader) {
+void FollowLeader(ReplicaContext& context, std::uint32_t leader) {
   Replica& replica = context.replica;
   if (replica.role != ReplicaRole::kFollower) {
     StepDown(context);
@@ -269,10 +270,11 @@
   replica.leader = leader;
   replica.leaderless_since = context.now;
   replica.lease_granted_until = context.now + replica.config.lease;
-  replica.election_at = replica.lease_granted_until + ElectionJitter(replica);
+  replica.next_election_at =
+      replica.lease_granted_until + ElectionJitter(replica);
 }
 
-void StepDown(ReduceContext& context) {
+void StepDown(ReplicaContext& context) {
   Replica& replica = context.replica;
   const auto reply_unknown = [&](std::uint64_t token) {
     if (token != 0) {
@@ -298,7 +300,7 @@
   replica.last_acked_send.clear();
   replica.voter_heard_at.clear();
   replica.standbys.clear();
-  replica.election_at =
+  replica.next_election_at =
       context.now + replica.config.lease + ElectionJitter(replica);
 }
 
--- a/Source/Control/Replica.h
+++ b/Source/Control/Replica.h
@@ -30,7 +30,7 @@
   bool open_membership = false;
   /// With open membership, the leader aims for at least this many voters and
   /// removes none if fewer would remain.
-  std::uint32_t least_voters = 3;
+  std::uint32_t min_voters = 3;
   Milliseconds heartbeat_interval{100};  ///< Of the leader.
   /// A voter that follows a leader grants no vote to another instance for this
   /// long. The leader holds its lease while a majority of the voters has
@@ -41,10 +41,10 @@
   /// first receive a message from an existing leader. If this is shorter than
   /// `lease`, a new leader may be elected while a leader on the other side of a
   /// network partition still holds its lease.
-  Milliseconds restart_wait{1000};
+  Milliseconds restart_vote_delay{1000};
   /// Upper bound of the pseudo-random delay before an election, which makes
   /// simultaneous elections of several replicas rare. Must be positive.
-  Milliseconds election_spread{1000};
+  Milliseconds election_jitter{1000};
 };
 
 enum class ReplicaRole { kFollower, kCandidate, kLeader };
@@ -101,10 +101,10 @@
   /// When this replica started, last stepped down or last received a message
   /// from a leader.
   TimePoint leaderless_since;
-  TimePoint election_at;     ///< Next election; leader messages delay it.
-  TimePoint heartbeat_at;    ///< Next heartbeats. Leader only.
-  TimePoint join_at;         ///< Earliest next join requests.
-  std::uint32_t leader = 0;  ///< 0 if unknown.
+  TimePoint next_election_at;   ///< Next election; leader messages delay it.
+  TimePoint next_heartbeat_at;  ///< Next heartbeats. Leader only.
+  TimePoint next_join_at;       ///< Earliest next join requests.
+  std::uint32_t leader = 0;     ///< 0 if unknown.
 };
 
 struct ControlStarted {};
@@ -131,14 +131,14 @@
   wire::DurableRecord record;
 };
 /// Reports to the caller that the committed state has changed.
-struct ControlAdvanced {};
+struct ControlStateChanged {};
 struct ControlVerdict {
   std::uint64_t token = 0;
   wire::Verdict verdict = wire::UNKNOWN;
   std::string reason;
 };
-using ControlEffect =
-    std::variant<ControlSend, ControlPersist, ControlAdvanced, ControlVerdict>;
+using ControlEffect = std::variant<ControlSend, ControlPersist,
+                                   ControlStateChanged, ControlVerdict>;
 
 /// Applies one event and returns its effects in order. Precondition: `now` does
 /// not decrease between calls.
@@ -149,7 +149,7 @@
 void Restore(Replica& replica, const wire::DurableRecord& record);
 
 /// Returns one record that contains the complete durable state.
-wire::DurableRecord FullRecord(const Replica& replica);
+wire::DurableRecord SnapshotRecord(const Replica& replica);
 
 /// Whether this replica is the leader and a majority of the voters, itself
 /// included, has acknowledged a heartbeat that it sent within the last
@@ -162,7 +162,7 @@
 /// hold its lease. Another replica must have received a heartbeat of a leader
 /// within `limit` and hold every entry that the heartbeats reported as
 /// committed.
-bool KnowsNewest(const Replica& replica, TimePoint now, Milliseconds limit);
+bool HasFreshState(const Replica& replica, TimePoint now, Milliseconds limit);
 
 /// Returns the initial record of a founder of a new cluster. All founders get
 /// the same state if they pass the same set. Precondition: the replica that
@@ -171,8 +171,8 @@
                                    const std::set<std::uint32_t>& founders);
 
 /// Returns the initial record of a new cluster whose only voter is `instance`.
-wire::DurableRecord FormatRecord(std::uint32_t instance,
-                                 std::uint64_t incarnation,
-                                 std::uint64_t cluster);
+wire::DurableRecord SingleVoterRecord(std::uint32_t instance,
+                                      std::uint64_t incarnation,
+                                      std::uint64_t cluster);
 
 }  // namespace filbertwall
--- a/Source/Control/ReplicaElection.cc
+++ b/Source/Control/ReplicaElection.cc
@@ -26,7 +26,7 @@
   return highest;
 }
 
-void BecomeLeader(ReduceContext& context) {
+void BecomeLeader(ReplicaContext& context) {
   Replica& replica = context.replica;
   replica.role = ReplicaRole::kLeader;
   replica.leader = replica.config.self;
@@ -49,7 +49,7 @@
   ProposeNext(context);
 }
 
-void BecomeLeaderOnMajority(ReduceContext& context) {
+void BecomeLeaderOnMajority(ReplicaContext& context) {
   Replica& replica = context.replica;
   std::set<std::uint32_t> granted = {replica.config.self};
   for (const auto& [instance, promise] : replica.promises) {
@@ -74,7 +74,7 @@
 
 }  // namespace
 
-void StartElection(ReduceContext& context) {
+void StartElection(ReplicaContext& context) {
   Replica& replica = context.replica;
   const bool ballot_still_highest =
       replica.role == ReplicaRole::kCandidate &&
@@ -96,7 +96,7 @@
   replica.promises.clear();
   const Milliseconds retry =
       replica.config.heartbeat_interval * (2 + replica.config.self % 5);
-  replica.election_at = context.now + retry;
+  replica.next_election_at = context.now + retry;
   wire::ControlMessage message;
   wire::Prepare& prepare = *message.mutable_prepare();
   *prepare.mutable_ballot() = replica.ballot;
@@ -105,7 +105,7 @@
   BecomeLeaderOnMajority(context);
 }
 
-void HandlePrepare(ReduceContext& context, std::uint32_t from,
+void HandlePrepare(ReplicaContext& context, std::uint32_t from,
                    const wire::Prepare& prepare, bool from_voter) {
   Replica& replica = context.replica;
   const bool candidate_is_ahead =
@@ -136,8 +136,8 @@
     PersistPromise(context, prepare.ballot());
   }
   // Gives the candidate time to win before this replica starts an election.
-  replica.election_at =
-      std::max(replica.election_at, context.now + replica.config.lease / 2);
+  replica.next_election_at = std::max(replica.next_election_at,
+                                      context.now + replica.config.lease / 2);
   promise.set_granted(true);
   if (replica.tip) {
     *promise.mutable_tip() = *replica.tip;
@@ -148,7 +148,7 @@
   Send(context, from, std::move(message));
 }
 
-void HandlePromise(ReduceContext& context, std::uint32_t from,
+void HandlePromise(ReplicaContext& context, std::uint32_t from,
                    const wire::Promise& promise) {
   Replica& replica = context.replica;
   replica.highest_round_seen =
--- a/Source/Control/ReplicaMembers.cc
+++ b/Source/Control/ReplicaMembers.cc
@@ -13,10 +13,10 @@
 /// all configured control instances and voters.
 constexpr Milliseconds kLeaderTimeout{500};
 
-MembershipStatus BuildMembershipStatus(const ReduceContext& context) {
+MembershipStatus BuildMembershipStatus(const ReplicaContext& context) {
   const Replica& replica = context.replica;
   MembershipStatus membership{.reachable_standbys = replica.standbys.size(),
-                              .least_voters = replica.config.least_voters};
+                              .min_voters = replica.config.min_voters};
   for (const wire::Member& member : replica.committed.members()) {
     const auto heard = replica.voter_heard_at.find(member.instance());
     const bool known = heard != replica.voter_heard_at.end();
@@ -36,14 +36,14 @@
   return membership;
 }
 
-void ProposeMemberChange(ReduceContext& context,
+void ProposeMemberChange(ReplicaContext& context,
                          const wire::MemberChange& change) {
   PendingChange pending;
   *pending.change.mutable_member() = change;
   Propose(context, pending);
 }
 
-void RecordStandby(ReduceContext& context, const JoinRequest& request) {
+void RecordStandby(ReplicaContext& context, const JoinRequest& request) {
   context.replica.standbys[request.instance] =
       Standby{.incarnation = request.incarnation,
               .committed_seq = request.committed_seq,
@@ -52,18 +52,18 @@
 
 }  // namespace
 
-void SendJoin(ReduceContext& context, std::uint32_t to) {
+void SendJoin(ReplicaContext& context, std::uint32_t to) {
   wire::ControlMessage message;
   message.mutable_join()->set_committed_seq(context.replica.committed.seq());
   Send(context, to, std::move(message));
 }
 
-void RequestJoin(ReduceContext& context) {
+void RequestJoin(ReplicaContext& context) {
   Replica& replica = context.replica;
-  if (context.now < replica.join_at) {
+  if (context.now < replica.next_join_at) {
     return;
   }
-  replica.join_at = context.now + replica.config.join_interval;
+  replica.next_join_at = context.now + replica.config.join_interval;
   const bool follows = replica.leader != 0 &&
                        context.now - replica.leader_heard_at <= kLeaderTimeout;
   if (follows) {
@@ -80,7 +80,7 @@
   }
 }
 
-void UpdateMembership(ReduceContext& context) {
+void UpdateMembership(ReplicaContext& context) {
   Replica& replica = context.replica;
   std::erase_if(replica.standbys, [&](const auto& item) {
     return context.now - item.second.heard_at > kStandbyTimeout;
@@ -94,7 +94,7 @@
   }
 }
 
-void HandleStandbyAck(ReduceContext& context, std::uint32_t from,
+void HandleStandbyAck(ReplicaContext& context, std::uint32_t from,
                       const wire::HeartbeatAck& ack) {
   Replica& replica = context.replica;
   const auto standby = replica.standbys.find(from);
@@ -109,7 +109,7 @@
   }
 }
 
-void HandleJoin(ReduceContext& context, const JoinRequest& request) {
+void HandleJoin(ReplicaContext& context, const JoinRequest& request) {
   Replica& replica = context.replica;
   if (replica.role == ReplicaRole::kFollower || request.incarnation == 0) {
     return;
--- a/Source/Control/ReplicaProposal.cc
+++ b/Source/Control/ReplicaProposal.cc
@@ -8,7 +8,7 @@
 namespace filbertwall {
 namespace {
 
-void CommitOnMajority(ReduceContext& context) {
+void CommitOnMajority(ReplicaContext& context) {
   Replica& replica = context.replica;
   if (!replica.proposing ||
       !IsMajority(replica.committed, replica.accepted_by)) {
@@ -48,7 +48,7 @@
   }
 }
 
-void SendAccept(ReduceContext& context, std::uint32_t to) {
+void SendAccept(ReplicaContext& context, std::uint32_t to) {
   wire::ControlMessage message;
   *message.mutable_accept()->mutable_ballot() = context.replica.ballot;
   *message.mutable_accept()->mutable_entry() = *context.replica.tip;
@@ -57,7 +57,7 @@
 
 /// Promises `ballot` and follows `from` as its leader. Returns false if this
 /// replica has already promised a higher ballot.
-bool FollowBallot(ReduceContext& context, std::uint32_t from,
+bool FollowBallot(ReplicaContext& context, std::uint32_t from,
                   const wire::Ballot& ballot) {
   Replica& replica = context.replica;
   const int order = CompareBallots(ballot, replica.promised_ballot);
@@ -73,7 +73,7 @@
   return true;
 }
 
-void SendAccepted(ReduceContext& context, std::uint32_t to,
+void SendAccepted(ReplicaContext& context, std::uint32_t to,
                   const wire::Accept& accept, bool stored) {
   wire::ControlMessage message;
   wire::Accepted& accepted = *message.mutable_accepted();
@@ -88,7 +88,7 @@
 /// Starts an election with a round above that of `ballot` if `ballot` is higher
 /// than this leader's, since the voter that promised it rejects this leader.
 /// Returns whether it started one.
-bool RestartElectionAbove(ReduceContext& context, const wire::Ballot& ballot) {
+bool RestartElectionAbove(ReplicaContext& context, const wire::Ballot& ballot) {
   Replica& replica = context.replica;
   if (CompareBallots(ballot, replica.ballot) <= 0) {
     return false;
@@ -102,7 +102,7 @@
 
 }  // namespace
 
-void Propose(ReduceContext& context, const PendingChange& pending) {
+void Propose(ReplicaContext& context, const PendingChange& pending) {
   Replica& replica = context.replica;
   wire::Entry entry;
   entry.set_seq(replica.committed.seq() + 1);
@@ -123,7 +123,7 @@
   CommitOnMajority(context);
 }
 
-void ProposeNext(ReduceContext& context) {
+void ProposeNext(ReplicaContext& context) {
   Replica& replica = context.replica;
   while (replica.role == ReplicaRole::kLeader && !replica.proposing &&
          !replica.queue.empty()) {
@@ -134,25 +134,26 @@
   }
 }
 
-void HandleSubmitted(ReduceContext& context, const ControlSubmitted& event) {
+void HandleSubmitted(ReplicaContext& context, const ControlSubmitted& event) {
   Replica& replica = context.replica;
   const auto answer = [&](wire::Verdict verdict, const std::string& reason) {
     context.effects.emplace_back(ControlVerdict{
         .token = event.token, .verdict = verdict, .reason = reason});
   };
   if (event.change.has_rules()) {
-    const Ruling decision = RuleOn(replica.committed, event.change.rules());
+    const RulesDecision decision =
+        DecideRulesFile(replica.committed, event.change.rules());
     switch (decision.kind) {
-      case Ruling::Kind::kAccepted:
+      case RulesDecision::Kind::kAccepted:
         answer(wire::ACCEPTED, decision.reason);
         return;
-      case Ruling::Kind::kRefused:
+      case RulesDecision::Kind::kRefused:
         answer(wire::REFUSED, decision.reason);
         return;
-      case Ruling::Kind::kForgotten:
+      case RulesDecision::Kind::kOutsideHistory:
         answer(wire::UNKNOWN, decision.reason);
         return;
-      case Ruling::Kind::kOpen:
+      case RulesDecision::Kind::kUndecided:
         break;
     }
   }
@@ -174,7 +175,7 @@
   Propose(context, pending);
 }
 
-void HandleAccept(ReduceContext& context, std::uint32_t from,
+void HandleAccept(ReplicaContext& context, std::uint32_t from,
                   const wire::Accept& accept) {
   Replica& replica = context.replica;
   if (!IsVoter(replica) || !FollowBallot(context, from, accept.ballot())) {
@@ -199,7 +200,7 @@
   SendAccepted(context, from, accept, seq <= replica.committed.seq());
 }
 
-void HandleAccepted(ReduceContext& context, std::uint32_t from,
+void HandleAccepted(ReplicaContext& context, std::uint32_t from,
                     const wire::Accepted& accepted) {
   Replica& replica = context.replica;
   if (replica.role != ReplicaRole::kLeader ||
@@ -224,7 +225,7 @@
   }
 }
 
-void HandleHeartbeat(ReduceContext& context, std::uint32_t from,
+void HandleHeartbeat(ReplicaContext& context, std::uint32_t from,
                      const wire::Heartbeat& heartbeat) {
   Replica& replica = context.replica;
   wire::ControlMessage message;
@@ -249,7 +250,7 @@
   Send(context, from, std::move(message));
 }
 
-void HandleHeartbeatAck(ReduceContext& context, std::uint32_t from,
+void HandleHeartbeatAck(ReplicaContext& context, std::uint32_t from,
                         const wire::HeartbeatAck& ack) {
   Replica& replica = context.replica;
   if (replica.role != ReplicaRole::kLeader ||
@@ -270,7 +271,7 @@
   }
 }
 
-void HandleInstall(ReduceContext& context, std::uint32_t from,
+void HandleInstall(ReplicaContext& context, std::uint32_t from,
                    const wire::Install& install) {
   Replica& replica = context.replica;
   // A removed replica may have promised a higher ballot that no voter knows. It
--- a/Source/Control/ReplicaTurn.cc
+++ b/Source/Control/ReplicaTurn.cc
@@ -4,7 +4,7 @@
 
 namespace filbertwall {
 
-void Send(ReduceContext& context, std::uint32_t to,
+void Send(ReplicaContext& context, std::uint32_t to,
           wire::ControlMessage message) {
   message.set_cluster(context.replica.committed.cluster());
   message.set_incarnation(context.replica.incarnation);
@@ -12,7 +12,8 @@
       ControlSend{.to = to, .message = std::move(message)});
 }
 
-void SendToVoters(ReduceContext& context, const wire::ControlMessage& message) {
+void SendToVoters(ReplicaContext& context,
+                  const wire::ControlMessage& message) {
   for (const wire::Member& member : context.replica.committed.members()) {
     if (member.instance() != context.replica.config.self) {
       Send(context, member.instance(), message);
@@ -20,16 +21,16 @@
   }
 }
 
-void SendInstall(ReduceContext& context, std::uint32_t to) {
+void SendInstall(ReplicaContext& context, std::uint32_t to) {
   wire::ControlMessage message;
   *message.mutable_install()->mutable_ballot() = context.replica.ballot;
   *message.mutable_install()->mutable_state() = context.replica.committed;
   Send(context, to, std::move(message));
 }
 
-void SendHeartbeats(ReduceContext& context) {
+void SendHeartbeats(ReplicaContext& context) {
   Replica& replica = context.replica;
-  replica.heartbeat_at = context.now + replica.config.heartbeat_interval;
+  replica.next_heartbeat_at = context.now + replica.config.heartbeat_interval;
   wire::ControlMessage message;
   wire::Heartbeat& heartbeat = *message.mutable_heartbeat();
   *heartbeat.mutable_ballot() = replica.ballot;
@@ -45,30 +46,30 @@
   }
 }
 
-void PersistPromise(ReduceContext& context, const wire::Ballot& ballot) {
+void PersistPromise(ReplicaContext& context, const wire::Ballot& ballot) {
   context.replica.promised_ballot = ballot;
   wire::DurableRecord record;
   *record.mutable_promised() = ballot;
   context.effects.emplace_back(ControlPersist{.record = std::move(record)});
 }
 
-void PersistTip(ReduceContext& context) {
+void PersistTip(ReplicaContext& context) {
   wire::DurableRecord record;
   *record.mutable_tip() = *context.replica.tip;
   context.effects.emplace_back(ControlPersist{.record = std::move(record)});
 }
 
-void CommitTip(ReduceContext& context) {
+void CommitTip(ReplicaContext& context) {
   Replica& replica = context.replica;
   wire::DurableRecord record;
   record.set_committed_seq(replica.tip->seq());
   ApplyEntry(replica.committed, *replica.tip);
   replica.tip.reset();
   context.effects.emplace_back(ControlPersist{.record = std::move(record)});
-  context.effects.emplace_back(ControlAdvanced{});
+  context.effects.emplace_back(ControlStateChanged{});
 }
 
-void InstallState(ReduceContext& context, const wire::ControlState& state) {
+void InstallState(ReplicaContext& context, const wire::ControlState& state) {
   Replica& replica = context.replica;
   replica.committed = state;
   const bool removed =
@@ -83,8 +84,9 @@
   if (replica.tip && replica.tip->seq() <= state.seq()) {
     replica.tip.reset();
   }
-  context.effects.emplace_back(ControlPersist{.record = FullRecord(replica)});
-  context.effects.emplace_back(ControlAdvanced{});
+  context.effects.emplace_back(
+      ControlPersist{.record = SnapshotRecord(replica)});
+  context.effects.emplace_back(ControlStateChanged{});
 }
 
 }  // namespace filbertwall
--- a/Source/Control/ReplicaTurn.h
+++ b/Source/Control/ReplicaTurn.h
@@ -8,7 +8,7 @@
 namespace filbertwall {
 
 /// Context of one call of `Reduce`.
-struct ReduceContext {
+struct ReplicaContext {
   Replica& replica;
   TimePoint now;
   std::vector<ControlEffect>& effects;
@@ -22,69 +22,69 @@
   std::uint64_t committed_seq = 0;
 };
 
-void Send(ReduceContext& context, std::uint32_t to,
+void Send(ReplicaContext& context, std::uint32_t to,
           wire::ControlMessage message);
 /// Sends a message to every other voter.
-void SendToVoters(ReduceContext& context, const wire::ControlMessage& message);
+void SendToVoters(ReplicaContext& context, const wire::ControlMessage& message);
 /// Sends the complete committed state, which replaces an older one at `to`.
-void SendInstall(ReduceContext& context, std::uint32_t to);
-void SendHeartbeats(ReduceContext& context);
+void SendInstall(ReplicaContext& context, std::uint32_t to);
+void SendHeartbeats(ReplicaContext& context);
 
 /// Sets the promised ballot and writes it to the log.
-void PersistPromise(ReduceContext& context, const wire::Ballot& ballot);
+void PersistPromise(ReplicaContext& context, const wire::Ballot& ballot);
 /// Writes the uncommitted entry to the log.
-void PersistTip(ReduceContext& context);
+void PersistTip(ReplicaContext& context);
 
 /// Becomes a follower without a leader. The proposed change and the queued ones
 /// get the verdict "unknown".
-void StepDown(ReduceContext& context);
+void StepDown(ReplicaContext& context);
 /// Becomes a candidate and asks the other voters for promises. Precondition:
 /// this replica is a voter.
-void StartElection(ReduceContext& context);
+void StartElection(ReplicaContext& context);
 
 /// Becomes a follower of `leader` and renews the lease granted to it.
-void FollowLeader(ReduceContext& context, std::uint32_t leader);
+void FollowLeader(ReplicaContext& context, std::uint32_t leader);
 
 /// Applies the uncommitted entry to the committed state. Precondition:
 /// `replica.tip` is set.
-void CommitTip(ReduceContext& context);
+void CommitTip(ReplicaContext& context);
 /// Replaces the committed state. With open membership, a replica that `state`
 /// lists as removed takes a new incarnation, so that it may join again.
-void InstallState(ReduceContext& context, const wire::ControlState& state);
+void InstallState(ReplicaContext& context, const wire::ControlState& state);
 
-void HandlePrepare(ReduceContext& context, std::uint32_t from,
+void HandlePrepare(ReplicaContext& context, std::uint32_t from,
                    const wire::Prepare& prepare, bool from_voter);
-void HandlePromise(ReduceContext& context, std::uint32_t from,
+void HandlePromise(ReplicaContext& context, std::uint32_t from,
                    const wire::Promise& promise);
 
 /// Stores the change as the uncommitted entry and sends it to the other voters.
 /// Precondition: this replica is the leader and no proposal is in progress.
-void Propose(ReduceContext& context, const PendingChange& pending);
+void Propose(ReplicaContext& context, const PendingChange& pending);
 /// Submits the queued changes until one of them is proposed. Leader only.
-void ProposeNext(ReduceContext& context);
-void HandleSubmitted(ReduceContext& context, const ControlSubmitted& event);
-void HandleAccept(ReduceContext& context, std::uint32_t from,
+void ProposeNext(ReplicaContext& context);
+void HandleSubmitted(ReplicaContext& context, const ControlSubmitted& event);
+void HandleAccept(ReplicaContext& context, std::uint32_t from,
                   const wire::Accept& accept);
-void HandleAccepted(ReduceContext& context, std::uint32_t from,
+void HandleAccepted(ReplicaContext& context, std::uint32_t from,
                     const wire::Accepted& accepted);
-void HandleHeartbeat(ReduceContext& context, std::uint32_t from,
+void HandleHeartbeat(ReplicaContext& context, std::uint32_t from,
                      const wire::Heartbeat& heartbeat);
-void HandleHeartbeatAck(ReduceContext& context, std::uint32_t from,
+void HandleHeartbeatAck(ReplicaContext& context, std::uint32_t from,
                         const wire::HeartbeatAck& ack);
-void HandleInstall(ReduceContext& context, std::uint32_t from,
+void HandleInstall(ReplicaContext& context, std::uint32_t from,
                    const wire::Install& install);
-void HandleJoin(ReduceContext& context, const JoinRequest& request);
+void HandleJoin(ReplicaContext& context, const JoinRequest& request);
 
 /// Sends a join request to one instance.
-void SendJoin(ReduceContext& context, std::uint32_t to);
+void SendJoin(ReplicaContext& context, std::uint32_t to);
 /// Sends join requests at the configured interval: to the leader if it has sent
 /// a heartbeat recently, else to all configured control instances and voters.
-void RequestJoin(ReduceContext& context);
+void RequestJoin(ReplicaContext& context);
 /// Removes standbys that timed out. With open membership, proposes the next
 /// change to the voters unless a proposal is in progress or the lease has
 /// expired. Leader only.
-void UpdateMembership(ReduceContext& context);
-void HandleStandbyAck(ReduceContext& context, std::uint32_t from,
+void UpdateMembership(ReplicaContext& context);
+void HandleStandbyAck(ReplicaContext& context, std::uint32_t from,
                       const wire::HeartbeatAck& ack);
 
 }  // namespace filbertwall
--- a/Source/Control/VoterChange.cc
+++ b/Source/Control/VoterChange.cc
@@ -43,7 +43,7 @@
 }
 
 /// Returns the largest odd number of voters that the responsive instances
-/// allow, between `least_voters` and `kMaxVoters`.
+/// allow, between `min_voters` and `kMaxVoters`.
 std::uint32_t TargetVoterCount(const MembershipStatus& membership) {
   const auto responsive = static_cast<std::uint32_t>(
       membership.reachable_standbys +
@@ -54,7 +54,7 @@
                         })));
   const std::uint32_t odd =
       responsive % 2 == 0 && responsive > 0 ? responsive - 1 : responsive;
-  return std::max(membership.least_voters, std::min(odd, kMaxVoters));
+  return std::max(membership.min_voters, std::min(odd, kMaxVoters));
 }
 
 wire::MemberChange BuildAdmission(const StandbyStatus& standby,
--- a/Source/Control/VoterChange.h
+++ b/Source/Control/VoterChange.h
@@ -33,11 +33,11 @@
   std::vector<VoterStatus> voters;
   std::vector<StandbyStatus> standbys;  ///< Up to date.
   std::size_t reachable_standbys = 0;   ///< Including outdated ones.
-  std::uint32_t least_voters = 3;       ///< As in `ReplicaConfig`.
+  std::uint32_t min_voters = 3;         ///< As in `ReplicaConfig`.
 };
 
 /// Returns the next change to the voters, if one is due. Once there are
-/// `least_voters` voters, a loss of `least_voters / 2` of them after any change
+/// `min_voters` voters, a loss of `min_voters / 2` of them after any change
 /// still leaves a majority.
 std::optional<wire::MemberChange> PlanVoterChange(
     const MembershipStatus& membership);
--- a/Source/Distribution/PackedContents.cc
+++ b/Source/Distribution/PackedContents.cc
@@ -100,7 +100,7 @@
   return records;
 }
 
-bool Unpack(wire::Update& update) {
+bool UnpackUpdate(wire::Update& update) {
   const bool routes = UnpackRoutes(update);
   const bool records = UnpackRecords(update);
   if (routes && records) {
--- a/Source/Distribution/PackedContents.h
+++ b/Source/Distribution/PackedContents.h
@@ -60,6 +60,6 @@
 /// Decodes the packed fields of an update into its routes and records and
 /// clears the packed fields. Returns false when a field cannot be decoded; all
 /// routes and records are then removed from the update.
-bool Unpack(wire::Update& update);
+bool UnpackUpdate(wire::Update& update);
 
 }  // namespace filbertwall
--- a/Source/Distribution/RouteHistory.cc
+++ b/Source/Distribution/RouteHistory.cc
@@ -21,17 +21,17 @@
   wire::Route route;
   route.set_ip(rule.address.ip);
   route.set_port(rule.address.port);
-  for (const SharedService& share : rule.shares) {
+  for (const WeightedService& share : rule.shares) {
     wire::RouteShare& item = *route.add_shares();
     item.set_service(share.service);
     item.set_weight(share.weight);
   }
-  route.set_kind(RequestKindOf(rule.treatment.kind));
+  route.set_kind(RequestKindOf(rule.route_settings.kind));
   route.set_timeout_ms(
-      static_cast<std::uint32_t>(rule.treatment.timeout.count()));
+      static_cast<std::uint32_t>(rule.route_settings.timeout.count()));
   route.set_objective_ms(
-      static_cast<std::uint32_t>(rule.treatment.objective.count()));
-  route.set_priority(rule.treatment.priority);
+      static_cast<std::uint32_t>(rule.route_settings.objective.count()));
+  route.set_priority(rule.route_settings.priority);
   return route;
 }
 
--- a/Source/Fleet/Calls.h
+++ b/Source/Fleet/Calls.h
@@ -26,14 +26,14 @@
   wire::RulesFile file;
 };
 /// Reads the rules file in force.
-struct ReadCall {};
+struct ReadRulesCall {};
 /// A call that cannot be translated; the adapter itself answers it.
 struct MalformedCall {
   int status = 400;
   std::string reason;
 };
-using FleetCall =
-    std::variant<HealthCall, ReportCall, SubmitCall, ReadCall, MalformedCall>;
+using FleetCall = std::variant<HealthCall, ReportCall, SubmitCall,
+                               ReadRulesCall, MalformedCall>;
 
 /// An HTTP request as received.
 struct HttpCall {
@@ -59,11 +59,11 @@
   /// packet.
   bool (*parse)(std::span<const std::uint8_t> bytes, FlowPacket& packet);
   /// Writes the token into a packet that `parse` has accepted.
-  void (*stamp)(std::span<std::uint8_t> bytes, std::uint32_t token);
+  void (*write_token)(std::span<std::uint8_t> bytes, std::uint32_t token);
   /// Writes the header that is placed before a packet sent to a backend
   /// server. Returns its length.
-  std::size_t (*write_head)(std::uint64_t server_number,
-                            std::span<std::uint8_t> out);
+  std::size_t (*write_header)(std::uint64_t server_number,
+                              std::span<std::uint8_t> out);
   /// Writes a packet that resets the flow to which the received packet `bytes`
   /// belongs. Returns its length.
   std::size_t (*write_reset)(std::span<const std::uint8_t> bytes,
--- a/Source/Fleet/ControlInstance.cc
+++ b/Source/Fleet/ControlInstance.cc
@@ -63,7 +63,7 @@
   void operator()(const ControlPersist& effect) {
     this->context.effects.emplace_back(PersistRecord{.record = effect.record});
   }
-  void operator()(const ControlAdvanced&) {
+  void operator()(const ControlStateChanged&) {
     ApplyCommittedRules(this->context);
   }
   void operator()(const ControlVerdict& effect) {
@@ -119,8 +119,8 @@
                         (kIntervalsUntilSilent - kIntervalsUntilSettled);
   for (wire::ServerRecord record : saved.servers()) {
     record.set_failing(false);  // Flow outcomes are not saved.
-    if (CheckRecord(record).empty()) {
-      MergeRecord(instance.registry, record, reported_at);
+    if (CheckServerRecord(record).empty()) {
+      MergeServerRecord(instance.registry, record, reported_at);
     }
   }
   instance.settled = saved.servers_size() > 0;
@@ -193,7 +193,7 @@
   if (MarkSilent(instance.registry, silence, context.now) > 0) {
     SchedulePush(context);
   }
-  ForgetGone(instance.registry, kGoneRetention, context.now);
+  RemoveExpiredServers(instance.registry, kGoneRetention, context.now);
   std::erase_if(instance.subscribers, [&](const auto& item) {
     return context.now - item.second.heard_at > kGoneRetention;
   });
@@ -201,7 +201,7 @@
 
 void HandlePackedUpdate(ControlContext& context, InstanceAddress from,
                         wire::Update update) {
-  if (!Unpack(update)) {
+  if (!UnpackUpdate(update)) {
     Log(context, EventId::kMalformedInput,
         "malformed update from " + FormatIp(from), Severity::kWarning);
     return;
@@ -226,7 +226,7 @@
     SubscribeToOthers(this->context);
     SendSummaryToFollowers(this->context);
   }
-  void operator()(const ControlInstanceDue&) { HandleTick(this->context); }
+  void operator()(const ControlInstanceTick&) { HandleTick(this->context); }
   void operator()(const PeerMessage& event) {
     const wire::FleetMessage& message = event.message;
     if (message.has_control()) {
@@ -318,9 +318,9 @@
   replica.control_instances = config.seeds;
   replica.open_membership = true;
   replica.lease = kLease;
-  replica.restart_wait = kRestartVoteDelay;
-  replica.election_spread = kElectionJitter;
-  replica.least_voters = std::max(kMinVoters, 2 * config.tolerated_losses + 1);
+  replica.restart_vote_delay = kRestartVoteDelay;
+  replica.election_jitter = kElectionJitter;
+  replica.min_voters = std::max(kMinVoters, 2 * config.tolerated_losses + 1);
   for (const wire::DurableRecord& record : log) {
     Restore(instance.replica, record);
   }
@@ -345,8 +345,8 @@
   if (!instance.disk_failed) {
     const bool leads = replica.role == ReplicaRole::kLeader;
     const TimePoint follower_due =
-        IsVoter(replica) ? replica.election_at : replica.join_at;
-    due = std::min(due, leads ? replica.heartbeat_at : follower_due);
+        IsVoter(replica) ? replica.next_election_at : replica.next_join_at;
+    due = std::min(due, leads ? replica.next_heartbeat_at : follower_due);
   }
   for (const PendingSubmission& submission : instance.submissions) {
     due = std::min(due, submission.expires_at);
@@ -357,7 +357,7 @@
   return due;
 }
 
-wire::DurableRecord FirstRecord(const FleetConfig& config, bool first_start) {
+wire::DurableRecord InitialRecord(const FleetConfig& config, bool first_start) {
   if (first_start && config.seeds.contains(config.self)) {
     return FoundingRecord(config.self, config.seeds);
   }
--- a/Source/Fleet/ControlInstance.h
+++ b/Source/Fleet/ControlInstance.h
@@ -77,7 +77,7 @@
 /// are also forwarded to the other control instances, since each entry instance
 /// reports to only one.
 struct ServerOutcomes {
-  OutcomeLedger ledger;
+  OutcomeStats stats;
   /// Received from entry instances since the last forwarding; by server id.
   std::map<std::string, wire::ServerOutcome> to_forward;
   std::set<std::string> failing;  ///< Servers marked as failing.
@@ -132,7 +132,7 @@
   wire::SavedRegistry saved;
 };
 /// The time of `NextDue` was reached.
-struct ControlInstanceDue {};
+struct ControlInstanceTick {};
 /// A backend server reported its record.
 struct ServerReported {
   CallId call = 0;
@@ -156,7 +156,7 @@
   std::vector<wire::DurableRecord> log;
 };
 using ControlInstanceEvent =
-    std::variant<ControlInstanceStarted, ControlInstanceDue, PeerMessage,
+    std::variant<ControlInstanceStarted, ControlInstanceTick, PeerMessage,
                  ServerReported, RulesSubmitted, RulesRead,
                  ControlStopRequested, ControlDiskFailed, ControlDiskRestored>;
 
@@ -172,8 +172,9 @@
   CallId call = 0;
   CallVerdict verdict = CallVerdict::kUnavailable;
   InstanceAddress leader = 0;
-  wire::RulesFile rules;            ///< Answer to a read.
-  InstanceAddress report_next = 0;  ///< Where a server should report next.
+  wire::RulesFile rules;  ///< Answer to a read.
+  InstanceAddress next_report_address =
+      0;  ///< Where a server should report next.
   std::string reason;
 };
 /// Appends a record to the log. It must be synced before any later effect of
@@ -199,13 +200,13 @@
                                           const ControlInstanceEvent& event,
                                           TimePoint now);
 
-/// Returns when `ControlInstanceDue` is to be applied next.
+/// Returns when `ControlInstanceTick` is to be applied next.
 TimePoint NextDue(const ControlInstance& instance);
 
 /// Returns the record with which the log on an empty disk starts. On the first
 /// start of the fleet, the record of a seed lists the seeds as the initial
 /// voters. In all other cases it contains only the incarnation, and the
 /// instance joins the existing voters later.
-wire::DurableRecord FirstRecord(const FleetConfig& config, bool first_start);
+wire::DurableRecord InitialRecord(const FleetConfig& config, bool first_start);
 
 }  // namespace filbertwall
--- a/Source/Fleet/ControlUpdates.cc
+++ b/Source/Fleet/ControlUpdates.cc
@@ -89,8 +89,9 @@
   ControlInstance& instance = context.instance;
   const wire::ControlState& state = instance.replica.committed;
   wire::Update update;
-  update.set_fresh(!instance.disk_failed &&
-                   KnowsNewest(instance.replica, context.now, kFreshnessLimit));
+  update.set_fresh(
+      !instance.disk_failed &&
+      HasFreshState(instance.replica, context.now, kFreshnessLimit));
   update.set_settled(CheckSettled(context));
   for (const wire::Member& member : state.members()) {
     update.add_control_instances(member.instance());
@@ -378,23 +379,23 @@
                         known->second.record.silent();
     record.set_silent(silent &&
                       known->second.record.sequence() == record.sequence());
-    KeepJudgement(instance.registry, record);
-    if (CheckRecord(record).empty() &&
-        MergeRecord(instance.registry, record, context.now)) {
+    PreserveFailingState(instance.registry, record);
+    if (CheckServerRecord(record).empty() &&
+        MergeServerRecord(instance.registry, record, context.now)) {
       changed = true;
       LogServer(context, record, FormatIp(from));
     }
   }
   const std::uint64_t before = instance.registry.change;
   for (const std::string& id : update.heard()) {
-    NoteHeard(instance.registry, id, context.now);
+    UpdateLastHeard(instance.registry, id, context.now);
   }
   if (changed || instance.registry.change != before) {
     SchedulePush(context);
   }
-  NoteContents(source.position, update);
+  AdvancePosition(source.position, update);
   instance.settled = instance.settled || update.settled();
-  RecordKnowledge(context, from, KnowledgeIn(update));
+  RecordKnowledge(context, from, ExtractKnowledge(update));
   if (update.confirm()) {
     wire::FleetMessage message;
     wire::Subscribe& subscribe = *message.mutable_subscribe();
--- a/Source/Fleet/EntryInstance.cc
+++ b/Source/Fleet/EntryInstance.cc
@@ -67,13 +67,13 @@
 
 /// Moves the flow outcomes that are not yet reported into a message.
 void DrainOutcomes(Forwarder& forwarder, wire::Outcomes& outcomes) {
-  for (const auto& [server, delta] : forwarder.outcomes.untold) {
+  for (const auto& [server, delta] : forwarder.outcomes.unreported) {
     wire::ServerOutcome& item = *outcomes.add_servers();
     item.set_id(forwarder.placement.servers[server].id);
     item.set_served(delta.served);
     item.set_failed(delta.failed);
   }
-  forwarder.outcomes.untold.clear();
+  forwarder.outcomes.unreported.clear();
 }
 
 void SendSubscribe(EventContext& context, InstanceAddress to) {
@@ -129,7 +129,7 @@
     return;
   }
   if (instance.primary != 0) {
-    Log(context, EventId::kControlLost,
+    Log(context, EventId::kControlInstanceLost,
         "control=" + FormatIp(instance.primary) + " silent_ms=" +
             std::to_string(
                 MillisecondsBetween(instance.primary_fresh_at, context.now)),
@@ -193,8 +193,8 @@
   EntryInstance& instance = context.instance;
   bool changed = false;
   for (const wire::ServerRecord& record : update.servers()) {
-    if (!CheckRecord(record).empty() ||
-        !MergeRecord(instance.registry, record, context.now)) {
+    if (!CheckServerRecord(record).empty() ||
+        !MergeServerRecord(instance.registry, record, context.now)) {
       continue;
     }
     changed = true;
@@ -280,7 +280,7 @@
   if (instance.primary == 0 || (local && !has_local)) {
     instance.primary = from;
     instance.next_poll_at = context.now;
-    Log(context, EventId::kControlFound,
+    Log(context, EventId::kControlInstanceSelected,
         "control=" + FormatIp(from) + " data_centre=" + source.data_centre);
   }
 }
@@ -324,12 +324,12 @@
   ControlSource& source = instance.sources[from];
   source.heard_at = context.now;
   source.data_centre = update.data_centre();
-  source.knowledge = KnowledgeIn(update);
+  source.knowledge = ExtractKnowledge(update);
   source.knowledge_received_at = context.now;
   MergeServers(context, update);
   const bool has_contents = update.registry_epoch() != 0;
   if (has_contents) {
-    NoteContents(source.position, update);
+    AdvancePosition(source.position, update);
   }
   instance.servers_known =
       instance.servers_known ||
@@ -358,7 +358,7 @@
     instance.next_housekeeping_at = this->context.now + kHousekeepingInterval;
     PollControl(this->context);
   }
-  void operator()(const EntryDue&) {
+  void operator()(const EntryTick&) {
     EntryInstance& instance = this->context.instance;
     ExpireFlows(instance.forwarder, this->context.now);
     if (this->context.now >= instance.next_poll_at) {
@@ -366,7 +366,8 @@
     }
     if (this->context.now >= instance.next_housekeeping_at) {
       instance.next_housekeeping_at = this->context.now + kHousekeepingInterval;
-      ForgetGone(instance.registry, kGoneRetention, this->context.now);
+      RemoveExpiredServers(instance.registry, kGoneRetention,
+                           this->context.now);
     }
     if (instance.stopping && !instance.stopped &&
         this->context.now >= instance.stop_at) {
@@ -381,7 +382,7 @@
       return;
     }
     wire::Update update = event.message.update();
-    if (Unpack(update)) {
+    if (UnpackUpdate(update)) {
       HandleUpdate(this->context, event.from, update);
     } else {
       Log(this->context, EventId::kMalformedInput,
@@ -418,7 +419,7 @@
 
 std::vector<EntryEffect> Reduce(EntryInstance& instance,
                                 const EntryEvent& event, TimePoint now) {
-  NoteStall(instance, now);
+  DetectStall(instance, now);
   std::vector<EntryEffect> effects;
   EventContext context{.instance = instance, .now = now, .effects = effects};
   std::visit(EventVisitor{.context = context}, event);
@@ -435,11 +436,11 @@
   return due;
 }
 
-void NoteStall(EntryInstance& instance, TimePoint now) {
+void DetectStall(EntryInstance& instance, TimePoint now) {
   const bool started = instance.started_at != TimePoint();
   if (started && now > NextDue(instance) + kStallThreshold) {
     instance.forwarder.discard_openings_until = now + kStallDiscardTime;
-    ForgetMeasured(instance.forwarder.admission);
+    ResetMeasurements(instance.forwarder.admission);
   }
 }
 
--- a/Source/Fleet/EntryInstance.h
+++ b/Source/Fleet/EntryInstance.h
@@ -61,13 +61,13 @@
 
 struct EntryStarted {};
 /// The time that `NextDue` returned has come.
-struct EntryDue {};
+struct EntryTick {};
 struct EntryStopRequested {};
 /// The list of seeds in the settings has changed.
 struct SeedsChanged {
   std::set<InstanceAddress> seeds;
 };
-using EntryEvent = std::variant<EntryStarted, EntryDue, PeerMessage,
+using EntryEvent = std::variant<EntryStarted, EntryTick, PeerMessage,
                                 EntryStopRequested, SeedsChanged>;
 
 /// Effect: the process may exit.
@@ -81,14 +81,14 @@
 std::vector<EntryEffect> Reduce(EntryInstance& instance,
                                 const EntryEvent& event, TimePoint now);
 
-/// Returns when the next `EntryDue` event is needed.
+/// Returns when the next `EntryTick` event is needed.
 TimePoint NextDue(const EntryInstance& instance);
 
 /// Detects a stall: a timer that is long overdue, because the process was
 /// suspended or had no processor time. After a stall, opening packets that have
 /// queued up are discarded and the measurements that admission control uses are
 /// reset. Must be called before `DecidePacket`.
-void NoteStall(EntryInstance& instance, TimePoint now);
+void DetectStall(EntryInstance& instance, TimePoint now);
 
 /// Returns whether new flows may be sent to this instance.
 bool IsReady(const EntryInstance& instance);
--- a/Source/Fleet/Fleet.cc
+++ b/Source/Fleet/Fleet.cc
@@ -4,7 +4,7 @@
 
 namespace filbertwall {
 
-void NoteContents(RegistryPosition& position, const wire::Update& update) {
+void AdvancePosition(RegistryPosition& position, const wire::Update& update) {
   if (update.registry_epoch() == position.epoch) {
     const bool contiguous = update.registry_from() <= position.change;
     // Updates may arrive out of order, so the position never moves back.
@@ -17,7 +17,7 @@
   }
 }
 
-wire::Knowledge KnowledgeIn(const wire::Update& update) {
+wire::Knowledge ExtractKnowledge(const wire::Update& update) {
   wire::Knowledge knowledge;
   knowledge.set_voter(update.voter());
   knowledge.set_seq(update.seq());
--- a/Source/Fleet/Fleet.h
+++ b/Source/Fleet/Fleet.h
@@ -56,12 +56,12 @@
 
 /// Returns the knowledge that the sender of `update` states about itself. The
 /// `instance` field is not set.
-wire::Knowledge KnowledgeIn(const wire::Update& update);
+wire::Knowledge ExtractKnowledge(const wire::Update& update);
 
 /// Advances `position` to the last change that `update` contains. Leaves it
 /// unchanged if the update starts after `position`, since the changes between
 /// would be skipped. After a restart of the sender, only an update that starts
 /// at change 0 is accepted.
-void NoteContents(RegistryPosition& position, const wire::Update& update);
+void AdvancePosition(RegistryPosition& position, const wire::Update& update);
 
 }  // namespace filbertwall
--- a/Source/Fleet/Metrics.cc
+++ b/Source/Fleet/Metrics.cc
@@ -35,7 +35,7 @@
   return std::chrono::duration<double>(to - from).count();
 }
 
-void AddProcessMetrics(Samples& samples, const ProcessFigures& process) {
+void AddProcessMetrics(Samples& samples, const ProcessStatistics& process) {
   AddCounter(samples, "log_lines_lost_total",
              "Log lines that a slow reader did not take.",
              process.log_lines_lost);
@@ -67,7 +67,7 @@
 }  // namespace
 
 std::vector<MetricSample> CollectMetrics(const EntryInstance& instance,
-                                         const ProcessFigures& process,
+                                         const ProcessStatistics& process,
                                          TimePoint now) {
   Samples samples;
   AddProcessMetrics(samples, process);
@@ -102,7 +102,7 @@
              counters.expired);
   AddCounter(samples, "orders_refused_total",
              "New flows refused for load whose requests may not be repeated.",
-             instance.forwarder.admission.counters.refused_orders);
+             instance.forwarder.admission.counters.refused_non_retryable);
   double max_slowness = 0;
   for (std::uint32_t i = 0; i < instance.forwarder.admission.services.size();
        ++i) {
@@ -137,7 +137,7 @@
 }
 
 std::vector<MetricSample> CollectMetrics(const ControlInstance& instance,
-                                         const ProcessFigures& process,
+                                         const ProcessStatistics& process,
                                          TimePoint now) {
   Samples samples;
   AddProcessMetrics(samples, process);
@@ -147,7 +147,7 @@
            HasLease(replica, now) ? 1 : 0);
   AddGauge(samples, "leader_known",
            "1 when this instance leads or hears the leader.",
-           KnowsNewest(replica, now, replica.config.lease) ? 1 : 0);
+           HasFreshState(replica, now, replica.config.lease) ? 1 : 0);
   AddGauge(samples, "voters", "Voting control instances.",
            replica.committed.members_size());
   AddGauge(samples, "rules_version", "Version of the rules in force.",
--- a/Source/Fleet/Metrics.h
+++ b/Source/Fleet/Metrics.h
@@ -27,7 +27,7 @@
 };
 
 /// Metrics that the process measures outside the reducers.
-struct ProcessFigures {
+struct ProcessStatistics {
   std::uint64_t log_lines_lost = 0;
   std::uint64_t malformed_messages = 0;
   std::uint64_t malformed_packets = 0;
@@ -39,10 +39,10 @@
 
 /// Returns the metrics of an instance at the time `now`.
 std::vector<MetricSample> CollectMetrics(const EntryInstance& instance,
-                                         const ProcessFigures& process,
+                                         const ProcessStatistics& process,
                                          TimePoint now);
 std::vector<MetricSample> CollectMetrics(const ControlInstance& instance,
-                                         const ProcessFigures& process,
+                                         const ProcessStatistics& process,
                                          TimePoint now);
 
 }  // namespace filbertwall
--- a/Source/Fleet/ServerOutcomes.cc
+++ b/Source/Fleet/ServerOutcomes.cc
@@ -22,7 +22,7 @@
   outcomes.set_passed_on(true);
   for (const auto& [id, outcome] : instance.outcomes.to_forward) {
     const OutcomeCounts counts =
-        CountsOf(instance.outcomes.ledger, id, context.now);
+        GetOutcomeCounts(instance.outcomes.stats, id, context.now);
     if (counts.failed >= kMinForwardedFailures) {
       *outcomes.add_servers() = outcome;
     }
@@ -56,8 +56,8 @@
   ControlInstance& instance = context.instance;
   SetFailing(instance.registry, id, failing);
   const OutcomeCounts counts =
-      CountsOf(instance.outcomes.ledger, id, context.now);
-  Log(context, EventId::kServerJudged,
+      GetOutcomeCounts(instance.outcomes.stats, id, context.now);
+  Log(context, EventId::kServerFailingChanged,
       "server=" + id + " failing=" + std::to_string(failing) +
           " served=" + std::to_string(counts.served) +
           " failed=" + std::to_string(counts.failed),
@@ -71,8 +71,8 @@
   std::set<std::string> failing;
   for (const auto& [service, servers] :
        ReadyServersByService(instance.registry)) {
-    failing.merge(
-        FindFailing(outcomes.ledger, servers, outcomes.failing, context.now));
+    failing.merge(FindFailingServers(outcomes.stats, servers, outcomes.failing,
+                                     context.now));
   }
   for (const std::string& id : failing) {
     if (!outcomes.failing.contains(id)) {
@@ -95,7 +95,7 @@
     if (!context.instance.registry.servers.contains(outcome.id())) {
       continue;  // Removed from the registry, or not yet known.
     }
-    AddOutcomes(state.ledger, outcome.id(), outcome.served(), outcome.failed(),
+    AddOutcomes(state.stats, outcome.id(), outcome.served(), outcome.failed(),
                 context.now);
     if (!outcomes.passed_on()) {
       wire::ServerOutcome& sum = state.to_forward[outcome.id()];
@@ -104,7 +104,7 @@
       sum.set_failed(sum.failed() + outcome.failed());
     }
   }
-  if (!state.ledger.servers.empty()) {
+  if (!state.stats.servers.empty()) {
     state.next_evaluation_at =
         std::min(state.next_evaluation_at, context.now + kEvaluationInterval);
   }
@@ -116,14 +116,14 @@
     return;
   }
   ForwardOutcomes(context);
-  ForgetOutcomes(outcomes.ledger, context.now);
-  const bool any_failed = std::any_of(
-      outcomes.ledger.servers.begin(), outcomes.ledger.servers.end(),
-      [](const auto& item) { return item.second.failed >= 1; });
+  RemoveExpiredOutcomes(outcomes.stats, context.now);
+  const bool any_failed =
+      std::any_of(outcomes.stats.servers.begin(), outcomes.stats.servers.end(),
+                  [](const auto& item) { return item.second.failed >= 1; });
   if (any_failed || !outcomes.failing.empty()) {
     EvaluateServers(context);
   }
-  outcomes.next_evaluation_at = outcomes.ledger.servers.empty()
+  outcomes.next_evaluation_at = outcomes.stats.servers.empty()
                                     ? kNever
                                     : context.now + kEvaluationInterval;
 }
--- a/Source/Fleet/ServerReports.cc
+++ b/Source/Fleet/ServerReports.cc
@@ -28,7 +28,7 @@
     if (report.change <= confirmed) {
       Answer(context, AnswerCall{.call = report.call,
                                  .verdict = CallVerdict::kAccepted,
-                                 .report_next = instance.config.self});
+                                 .next_report_address = instance.config.self});
       return true;
     }
     if (context.now < report.expires_at) {
@@ -60,7 +60,7 @@
 void HandleReport(ControlContext& context, const ServerReported& event) {
   ControlInstance& instance = context.instance;
   instance.counters.reports += 1;
-  const std::string finding = CheckRecord(event.record);
+  const std::string finding = CheckServerRecord(event.record);
   if (!finding.empty()) {
     Log(context, EventId::kAnnouncementRejected,
         "server=" + event.record.id() + " " + finding, Severity::kWarning);
@@ -83,8 +83,8 @@
       record.set_silent(false);
     }
   }
-  KeepJudgement(instance.registry, record);
-  if (MergeRecord(instance.registry, record, context.now)) {
+  PreserveFailingState(instance.registry, record);
+  if (MergeServerRecord(instance.registry, record, context.now)) {
     LogServer(context, record, "itself");
     SchedulePush(context);
   }
@@ -95,7 +95,7 @@
   if (record.phase() == wire::SERVER_READY) {
     Answer(context, AnswerCall{.call = event.call,
                                .verdict = CallVerdict::kAccepted,
-                               .report_next = instance.config.self});
+                               .next_report_address = instance.config.self});
     return;
   }
   instance.reports.push_back(
--- a/Source/Flows/FlowChoice.cc
+++ b/Source/Flows/FlowChoice.cc
@@ -49,7 +49,7 @@
   for (const Backend* backend : candidates) {
     const double score =
         RendezvousScore(flow_hash, backend->address,
-                        WeightOf(rules, service, backend->address));
+                        GetBackendWeight(rules, service, backend->address));
     if (score > first_score) {
       best.second = best.first;
       second_score = first_score;
@@ -89,14 +89,14 @@
   return owners;
 }
 
-std::optional<Endpoint> ChooseForFlow(const FlowTier& tier,
-                                      const FlowContext& context,
-                                      const ServiceRule& service,
-                                      const FlowKey& key) {
-  const std::vector<const Backend*> candidates = CandidatesFor(
-      context.directory, context.rules, service.name, context.now);
+std::optional<Endpoint> ChooseFlowBackend(const FlowTier& tier,
+                                          const FlowEnvironment& environment,
+                                          const ServiceRule& service,
+                                          const FlowKey& key) {
+  const std::vector<const Backend*> candidates = FindCandidates(
+      environment.directory, environment.rules, service.name, environment.now);
   const BestTwo best =
-      FindBestTwo(candidates, context.rules, service.name, HashFlow(key));
+      FindBestTwo(candidates, environment.rules, service.name, HashFlow(key));
   if (best.first == nullptr) {
     return std::nullopt;
   }
@@ -106,7 +106,7 @@
   const auto load = [&](const Backend* backend) {
     return FlowsPerWeight(
         tier, backend->address,
-        WeightOf(context.rules, service.name, backend->address));
+        GetBackendWeight(environment.rules, service.name, backend->address));
   };
   return load(best.second) < load(best.first) ? best.second->address
                                               : best.first->address;
--- a/Source/Flows/FlowOwner.cc
+++ b/Source/Flows/FlowOwner.cc
@@ -36,14 +36,14 @@
 
 /// Removes the oldest half-open flow to make room for another flow. Returns
 /// false when there is none.
-bool EvictHalfOpen(FlowTurn& turn) {
-  FlowTier& tier = turn.tier;
+bool EvictHalfOpen(FlowContext& context) {
+  FlowTier& tier = context.tier;
   while (!tier.half_open.empty()) {
     FlowEntry* entry = FindFlow(tier.table, tier.half_open.front());
     tier.half_open.pop_front();
     if (entry != nullptr && (entry->flags & kFlowEstablished) == 0) {
-      Count(turn, "unproven_evicted");
-      RemoveFlow(turn, entry);
+      Count(context, "unproven_evicted");
+      RemoveFlow(context, entry);
       return true;
     }
   }
@@ -52,20 +52,20 @@
 
 /// Adds a flow. Returns null when the table is full of established flows, which
 /// take precedence over new ones.
-FlowEntry* AddFlow(FlowTurn& turn, const FlowKey& key,
+FlowEntry* AddFlow(FlowContext& context, const FlowKey& key,
                    const std::string& service, const Endpoint& backend,
                    bool established) {
-  FlowTier& tier = turn.tier;
-  if (tier.table.size >= tier.limit && !EvictHalfOpen(turn)) {
-    Count(turn, "table_full");
+  FlowTier& tier = context.tier;
+  if (tier.table.size >= tier.limit && !EvictHalfOpen(context)) {
+    Count(context, "table_full");
     return nullptr;
   }
   FlowEntry& entry = InsertFlow(tier.table, key);
   entry.service = InternServiceName(tier, service);
   entry.backend = InternBackend(tier, backend);
-  entry.last_seen = turn.now_seconds;
+  entry.last_seen = context.now_seconds;
   entry.generation =
-      static_cast<std::uint16_t>(turn.context.directory.generation);
+      static_cast<std::uint16_t>(context.environment.directory.generation);
   tier.flows_per_backend[entry.backend] += 1;
   if (established) {
     entry.flags = kFlowEstablished;
@@ -75,47 +75,47 @@
   return &entry;
 }
 
-void Forward(FlowTurn& turn, const UnknownPacket& packet,
+void Forward(FlowContext& context, const UnknownPacket& packet,
              const FlowEntry& entry) {
   SetNetworkIdentifier(packet.datagram->bytes,
                        NetworkIdentifierOf(packet.service->name));
-  turn.effects.forwarded.push_back(
-      {.index = packet.index, .to = turn.tier.backends[entry.backend]});
+  context.effects.forwarded.push_back(
+      {.index = packet.index, .to = context.tier.backends[entry.backend]});
 }
 
 /// Opens a flow on its owner and forwards the packet. Sends the flow's record
 /// to the backup, if not 0, and to the instance that relayed the packet.
-void OpenAsOwner(FlowTurn& turn, const UnknownPacket& packet,
+void OpenAsOwner(FlowContext& context, const UnknownPacket& packet,
                  std::uint32_t backup) {
-  const auto backend =
-      ChooseForFlow(turn.tier, turn.context, *packet.service, packet.info.key);
+  const auto backend = ChooseFlowBackend(context.tier, context.environment,
+                                         *packet.service, packet.info.key);
   if (!backend) {
-    Count(turn, "no_backend");
+    Count(context, "no_backend");
     return;
   }
   const bool established = !packet.info.tcp;
-  const FlowEntry* entry = AddFlow(turn, packet.info.key, packet.service->name,
-                                   *backend, established);
+  const FlowEntry* entry = AddFlow(context, packet.info.key,
+                                   packet.service->name, *backend, established);
   if (entry == nullptr) {
     return;
   }
-  Count(turn, "opened");
-  Forward(turn, packet, *entry);
+  Count(context, "opened");
+  Forward(context, packet, *entry);
   if (backup != 0) {
-    QueueFlowRecord(turn, backup, *entry);
+    QueueFlowRecord(context, backup, *entry);
   }
   if (packet.relayed_by != 0 && packet.relayed_by != backup) {
-    QueueFlowRecord(turn, packet.relayed_by, *entry);
+    QueueFlowRecord(context, packet.relayed_by, *entry);
   }
 }
 
 /// Queries the other instances about a flow that one of them must have opened.
-void QueryOtherInstances(FlowTurn& turn, const UnknownPacket& packet,
+void QueryOtherInstances(FlowContext& context, const UnknownPacket& packet,
                          const std::vector<std::uint32_t>& owners) {
-  FlowTier& tier = turn.tier;
+  FlowTier& tier = context.tier;
   if (tier.pending.contains(packet.info.key) ||
       tier.pending.size() >= kMaxPending) {
-    Count(turn, "dropped_while_asking");
+    Count(context, "dropped_while_asking");
     return;
   }
   PendingFlow& pending = tier.pending[packet.info.key];
@@ -123,70 +123,73 @@
                         packet.datagram->bytes.end());
   pending.info = packet.info;
   pending.relayed_by = packet.relayed_by;
-  pending.expires_at = turn.context.now + kQueryTimeout;
+  pending.expires_at = context.environment.now + kQueryTimeout;
   for (const std::uint32_t instance : owners) {
     if (instance != tier.self) {
       pending.unanswered.insert(instance);
-      turn.messages[instance].add_wanted(EncodeFlowKey(packet.info.key));
+      context.messages[instance].add_wanted(EncodeFlowKey(packet.info.key));
     }
   }
-  Count(turn, "asked");
+  Count(context, "asked");
 }
 
 /// Forwards the packet that waits for replies about the flow, if there is one.
 /// It goes to the backend server that another instance reported, or, if none
 /// did, to the one that a new flow would get.
-void ResolvePending(FlowTurn& turn, const FlowKey& key) {
-  const auto found = turn.tier.pending.find(key);
-  if (found == turn.tier.pending.end()) {
+void ResolvePending(FlowContext& context, const FlowKey& key) {
+  const auto found = context.tier.pending.find(key);
+  if (found == context.tier.pending.end()) {
     return;
   }
   PendingFlow pending = std::move(found->second);
-  turn.tier.pending.erase(found);
-  const auto address = turn.context.rules.addresses.find(key.destination);
-  if (address == turn.context.rules.addresses.end()) {
+  context.tier.pending.erase(found);
+  const auto address =
+      context.environment.rules.addresses.find(key.destination);
+  if (address == context.environment.rules.addresses.end()) {
     return;
   }
   const ServiceRule& service =
-      turn.context.rules.services.at(address->second.service);
-  FlowEntry* entry = FindFlow(turn.tier.table, key);
+      context.environment.rules.services.at(address->second.service);
+  FlowEntry* entry = FindFlow(context.tier.table, key);
   if (entry == nullptr) {
-    const auto backend = ChooseForFlow(turn.tier, turn.context, service, key);
+    const auto backend =
+        ChooseFlowBackend(context.tier, context.environment, service, key);
     if (!backend) {
-      Count(turn, "no_backend");
+      Count(context, "no_backend");
       return;
     }
-    Count(turn, "adopted_unknown");
-    entry = AddFlow(turn, key, service.name, *backend, true);
+    Count(context, "adopted_unknown");
+    entry = AddFlow(context, key, service.name, *backend, true);
   }
   if (entry == nullptr) {
     return;
   }
-  if (!StillServes(turn, *entry, service)) {
-    Count(turn, "service_changed");
-    RemoveFlow(turn, entry);
+  if (!StillServes(context, *entry, service)) {
+    Count(context, "service_changed");
+    RemoveFlow(context, entry);
     return;
   }
   SetNetworkIdentifier(pending.packet, NetworkIdentifierOf(service.name));
-  turn.effects.datagrams.push_back({.to = turn.tier.backends[entry->backend],
-                                    .bytes = std::move(pending.packet)});
+  context.effects.datagrams.push_back(
+      {.to = context.tier.backends[entry->backend],
+       .bytes = std::move(pending.packet)});
   if (pending.relayed_by != 0) {
-    QueueFlowRecord(turn, pending.relayed_by, *entry);
+    QueueFlowRecord(context, pending.relayed_by, *entry);
   }
 }
 
-void HandleFlowRecord(FlowTurn& turn, std::uint32_t from,
+void HandleFlowRecord(FlowContext& context, std::uint32_t from,
                       const wire::FlowRecord& record) {
   const auto key = DecodeFlowKey(record.key());
   if (!key) {
     return;
   }
-  const auto pending = turn.tier.pending.find(*key);
+  const auto pending = context.tier.pending.find(*key);
   if (record.backend_port() == 0) {  // The other instance has no entry either.
-    if (pending != turn.tier.pending.end()) {
+    if (pending != context.tier.pending.end()) {
       pending->second.unanswered.erase(from);
       if (pending->second.unanswered.empty()) {
-        ResolvePending(turn, *key);
+        ResolvePending(context, *key);
       }
     }
     return;
@@ -194,54 +197,55 @@
   const Endpoint backend{
       .ip = record.backend_ip(),
       .port = static_cast<std::uint16_t>(record.backend_port())};
-  FlowEntry* known = FindFlow(turn.tier.table, *key);
+  FlowEntry* known = FindFlow(context.tier.table, *key);
   if (known != nullptr) {
-    known->last_seen = turn.now_seconds;
+    known->last_seen = context.now_seconds;
     known->flags |= kFlowEstablished;
   } else {
-    FlowEntry* entry = AddFlow(turn, *key, record.service(), backend, true);
+    FlowEntry* entry = AddFlow(context, *key, record.service(), backend, true);
     if (entry != nullptr) {
       entry->generation -= 1;  // Makes `FindValidFlow` call `StillServes`.
     }
   }
-  ResolvePending(turn, *key);
+  ResolvePending(context, *key);
 }
 
-void AnswerQuery(FlowTurn& turn, std::uint32_t to, const std::string& bytes) {
+void AnswerQuery(FlowContext& context, std::uint32_t to,
+                 const std::string& bytes) {
   const auto key = DecodeFlowKey(bytes);
-  const FlowEntry* entry = key ? FindFlow(turn.tier.table, *key) : nullptr;
+  const FlowEntry* entry = key ? FindFlow(context.tier.table, *key) : nullptr;
   if (entry != nullptr) {
-    QueueFlowRecord(turn, to, *entry);
+    QueueFlowRecord(context, to, *entry);
     return;
   }
-  turn.messages[to].add_records()->set_key(bytes);
+  context.messages[to].add_records()->set_key(bytes);
 }
 
-void AppendDatagram(FlowTurn& turn, std::uint32_t to,
+void AppendDatagram(FlowContext& context, std::uint32_t to,
                     const wire::FlowMessage& message) {
-  FlowDatagram datagram{.to = turn.tier.packet_addresses.at(to)};
+  FlowDatagram datagram{.to = context.tier.packet_addresses.at(to)};
   datagram.bytes.resize(1 + message.ByteSizeLong());
   datagram.bytes[0] = kMessageMagic;
   message.SerializeToArray(datagram.bytes.data() + 1,
                            static_cast<int>(datagram.bytes.size() - 1));
-  turn.effects.datagrams.push_back(std::move(datagram));
+  context.effects.datagrams.push_back(std::move(datagram));
 }
 
 }  // namespace
 
-void HandleUnknownPacket(FlowTurn& turn, const UnknownPacket& packet) {
+void HandleUnknownPacket(FlowContext& context, const UnknownPacket& packet) {
   const std::vector<std::uint32_t> owners =
-      OwnersOf(turn.tier, turn.context.silent, packet.info.key);
+      OwnersOf(context.tier, context.environment.silent, packet.info.key);
   // A relayed packet is never relayed again, even if this instance ranks
   // another one as the owner, so that different views of the live instances
   // can't cause a forwarding loop.
   const bool relay_to_owner =
-      packet.relayed_by == 0 && owners[0] != turn.tier.self;
+      packet.relayed_by == 0 && owners[0] != context.tier.self;
   if (relay_to_owner) {
-    Count(turn, "handed_to_owner");
-    turn.effects.forwarded.push_back(
+    Count(context, "handed_to_owner");
+    context.effects.forwarded.push_back(
         {.index = packet.index,
-         .to = turn.tier.packet_addresses.at(owners[0])});
+         .to = context.tier.packet_addresses.at(owners[0])});
     return;
   }
   const bool opens_flow = packet.info.syn || !packet.info.tcp;
@@ -249,93 +253,94 @@
   if (packet.info.syn || (opens_flow && alone)) {
     const auto backup =
         std::find_if(owners.begin(), owners.end(),
-                     [&](std::uint32_t id) { return id != turn.tier.self; });
-    OpenAsOwner(turn, packet, backup == owners.end() ? 0 : *backup);
+                     [&](std::uint32_t id) { return id != context.tier.self; });
+    OpenAsOwner(context, packet, backup == owners.end() ? 0 : *backup);
     return;
   }
   if (alone) {
-    Count(turn, "adopted_unknown");
-    OpenAsOwner(turn, packet, 0);
+    Count(context, "adopted_unknown");
+    OpenAsOwner(context, packet, 0);
     return;
   }
-  QueryOtherInstances(turn, packet, owners);
+  QueryOtherInstances(context, packet, owners);
 }
 
-void ExpirePending(FlowTurn& turn) {
+void ExpirePending(FlowContext& context) {
   std::vector<FlowKey> expired;
-  for (const auto& [key, pending] : turn.tier.pending) {
-    if (turn.context.now >= pending.expires_at) {
+  for (const auto& [key, pending] : context.tier.pending) {
+    if (context.environment.now >= pending.expires_at) {
       expired.push_back(key);
     }
   }
   for (const FlowKey& key : expired) {
-    ResolvePending(turn, key);
+    ResolvePending(context, key);
   }
 }
 
-void HandOverFlows(FlowTurn& turn) {
-  for (const FlowEntry& entry : turn.tier.table.slots) {
+void HandOverFlows(FlowContext& context) {
+  for (const FlowEntry& entry : context.tier.table.slots) {
     if (entry.protocol == 0) {
       continue;
     }
-    ReplicateToOwners(turn, entry);
+    ReplicateToOwners(context, entry);
   }
 }
 
-void ReplicateToOwners(FlowTurn& turn, const FlowEntry& entry) {
+void ReplicateToOwners(FlowContext& context, const FlowEntry& entry) {
   constexpr int kReplicas = 2;  // The owner and the backup.
   int replicas = 0;
   for (const std::uint32_t instance :
-       OwnersOf(turn.tier, turn.context.silent, KeyOf(entry))) {
-    if (instance != turn.tier.self && replicas < kReplicas) {
-      QueueFlowRecord(turn, instance, entry);
+       OwnersOf(context.tier, context.environment.silent, KeyOf(entry))) {
+    if (instance != context.tier.self && replicas < kReplicas) {
+      QueueFlowRecord(context, instance, entry);
       replicas += 1;
     }
   }
 }
 
-void QueueFlowRecord(FlowTurn& turn, std::uint32_t to, const FlowEntry& entry) {
-  wire::FlowRecord& record = *turn.messages[to].add_records();
-  const Endpoint& backend = turn.tier.backends[entry.backend];
+void QueueFlowRecord(FlowContext& context, std::uint32_t to,
+                     const FlowEntry& entry) {
+  wire::FlowRecord& record = *context.messages[to].add_records();
+  const Endpoint& backend = context.tier.backends[entry.backend];
   record.set_key(EncodeFlowKey(KeyOf(entry)));
   record.set_backend_ip(backend.ip);
   record.set_backend_port(backend.port);
-  record.set_service(turn.tier.services[entry.service]);
+  record.set_service(context.tier.services[entry.service]);
 }
 
 bool IsFlowMessage(std::span<const std::uint8_t> bytes) {
   return !bytes.empty() && bytes[0] == kMessageMagic;
 }
 
-void HandleFlowMessage(FlowTurn& turn, std::uint32_t from,
+void HandleFlowMessage(FlowContext& context, std::uint32_t from,
                        std::span<const std::uint8_t> bytes) {
   wire::FlowMessage message;
   if (!message.ParseFromArray(bytes.data() + 1,
                               static_cast<int>(bytes.size() - 1))) {
-    Count(turn, "malformed");
+    Count(context, "malformed");
     return;
   }
   for (const wire::FlowRecord& record : message.records()) {
-    HandleFlowRecord(turn, from, record);
+    HandleFlowRecord(context, from, record);
   }
   for (const std::string& wanted : message.wanted()) {
-    AnswerQuery(turn, from, wanted);
+    AnswerQuery(context, from, wanted);
   }
 }
 
-void SendFlowMessages(FlowTurn& turn) {
-  for (const auto& [to, message] : turn.messages) {
+void SendFlowMessages(FlowContext& context) {
+  for (const auto& [to, message] : context.messages) {
     wire::FlowMessage part;
     *part.mutable_wanted() = message.wanted();
     for (const wire::FlowRecord& record : message.records()) {
       *part.add_records() = record;
       if (part.records_size() == kRecordsPerMessage) {
-        AppendDatagram(turn, to, part);
+        AppendDatagram(context, to, part);
         part.Clear();
       }
     }
     if (part.records_size() + part.wanted_size() > 0) {
-      AppendDatagram(turn, to, part);
+      AppendDatagram(context, to, part);
     }
   }
 }
--- a/Source/Flows/FlowTier.h
+++ b/Source/Flows/FlowTier.h
@@ -61,7 +61,7 @@
   std::map<std::string, std::uint64_t> counters;
 };
 
-struct FlowContext {
+struct FlowEnvironment {
   const Rules& rules;
   const Directory& directory;
   const std::set<std::uint32_t>& silent;  ///< Instances presumed down.
@@ -97,7 +97,8 @@
 };
 
 /// Handles one event: updates the state and returns the datagrams to send.
-FlowEffects Reduce(FlowTier& tier, const FlowEvent& event, FlowContext context);
+FlowEffects Reduce(FlowTier& tier, const FlowEvent& event,
+                   FlowEnvironment environment);
 
 /// Returns the live instances, including this one, ranked by their rendezvous
 /// hash for the flow: the owner first, then its backups. At most 16 are
@@ -108,9 +109,9 @@
 
 /// Returns the backend server for a new flow; empty when no server is
 /// available.
-std::optional<Endpoint> ChooseForFlow(const FlowTier& tier,
-                                      const FlowContext& context,
-                                      const ServiceRule& service,
-                                      const FlowKey& key);
+std::optional<Endpoint> ChooseFlowBackend(const FlowTier& tier,
+                                          const FlowEnvironment& environment,
+                                          const ServiceRule& service,
+                                          const FlowKey& key);
 
 }  // namespace filbertwall
--- a/Source/Forwarding/FlowOutcomes.cc
+++ b/Source/Forwarding/FlowOutcomes.cc
@@ -23,13 +23,13 @@
       average == 0 ? length
                    : std::min<double>(length, average * kMaxRatioToAverage);
   average += (average == 0 ? 1 : kAverageWeight) * (capped_length - average);
-  OutcomeDelta& delta = outcomes.untold[server];
+  OutcomeDelta& delta = outcomes.unreported[server];
   (is_short ? delta.failed : delta.served) += 1;
   return !is_short;
 }
 
 void RecordFailure(FlowOutcomes& outcomes, ServerIndex server) {
-  outcomes.untold[server].failed += 1;
+  outcomes.unreported[server].failed += 1;
 }
 
 }  // namespace filbertwall
--- a/Source/Forwarding/FlowOutcomes.h
+++ b/Source/Forwarding/FlowOutcomes.h
@@ -24,7 +24,7 @@
 
 struct FlowOutcomes {
   /// Outcomes that have not been reported yet.
-  std::map<ServerIndex, OutcomeDelta> untold;
+  std::map<ServerIndex, OutcomeDelta> unreported;
   /// Moving average of the answer length in bytes, by address.
   std::unordered_map<RouteKey, double> average_length;
 };
--- a/Source/Forwarding/FlowPacket.h
+++ b/Source/Forwarding/FlowPacket.h
@@ -31,12 +31,12 @@
   std::uint32_t token = 0;  ///< Identifies the flow's server.
   /// Acknowledgement number, in packets after the opening one. The server's
   /// initial sequence number is arbitrary, and sequence numbers wrap.
-  std::uint32_t received = 0;
+  std::uint32_t ack_number = 0;
   /// Time from this copy of the opening packet until the caller sends the next
   /// copy or gives up, unless the server answers before.
-  Milliseconds repeat_after{0};
+  Milliseconds retransmit_after{0};
   /// Time from the first copy of the opening packet to this one.
-  Milliseconds repeated_for{0};
+  Milliseconds since_first_copy{0};
 };
 
 }  // namespace filbertwall
--- a/Source/Forwarding/Forwarder.cc
+++ b/Source/Forwarding/Forwarder.cc
@@ -44,7 +44,7 @@
                .expires_at = expires_at,
                .objective = route.objective};
   forwarder.timers.emplace(fails_at, packet.key);
-  NoteOpening(forwarder.placement.servers[server], now);
+  RecordOpening(forwarder.placement.servers[server], now);
 }
 
 /// Whether a new flow is refused for overload. Retransmitted opening packets
@@ -60,14 +60,14 @@
              forwarder.admission,
              AdmissionRequest{.service = service,
                               .caller = packet.key.caller.ip,
-                              .repeatable = route.kind != wire::REQUEST_UNSAFE},
+                              .retryable = route.kind != wire::REQUEST_UNSAFE},
              now);
 }
 
 /// Removes a flow from the in-flight count if it is still included.
 void RemoveFromAdmission(Forwarder& forwarder, const OpenFlow& flow) {
   if (flow.answered && !flow.overdue) {
-    NoteLeft(forwarder.admission, flow.service);
+    RemoveFlowInFlight(forwarder.admission, flow.service);
   }
 }
 
@@ -78,7 +78,7 @@
     forwarder.counters.no_route += 1;
     return Reset(ForwardReason::kNoRoute);
   }
-  std::optional<ServerIndex> except;
+  std::optional<ServerIndex> unanswered_server;
   const auto known = forwarder.flows.find(packet.key);
   if (known != forwarder.flows.end()) {
     if (known->second.answered) {
@@ -88,8 +88,8 @@
                       .reason = ForwardReason::kToken,
                       .server = known->second.server};
     }
-    except = known->second.server;
-    NoteUnanswered(forwarder.placement, *except, now);
+    unanswered_server = known->second.server;
+    RecordUnanswered(forwarder.placement, *unanswered_server, now);
     forwarder.flows.erase(known);
   }
   const ServiceIndex service =
@@ -98,9 +98,10 @@
     forwarder.counters.overload += 1;
     return Reset(ForwardReason::kOverload);
   }
-  const NewFlow flow{.service = service,
-                     .except = except,
-                     .repeatable = route->second.kind != wire::REQUEST_UNSAFE};
+  const PlacementRequest flow{
+      .service = service,
+      .unanswered_server = unanswered_server,
+      .retryable = route->second.kind != wire::REQUEST_UNSAFE};
   const auto server = ChooseServer(forwarder.placement, flow, now);
   if (!server) {
     forwarder.counters.no_server += 1;
@@ -108,23 +109,23 @@
   }
   TrackFlow(forwarder, packet, *server, route->second, now);
   forwarder.counters.placed += 1;
-  forwarder.counters.placed_again += except ? 1 : 0;
-  return Decision{
-      .verdict = Verdict::kForward,
-      .reason = except ? ForwardReason::kPlacedAgain : ForwardReason::kPlaced,
-      .server = *server};
+  forwarder.counters.placed_again += unanswered_server ? 1 : 0;
+  return Decision{.verdict = Verdict::kForward,
+                  .reason = unanswered_server ? ForwardReason::kPlacedAgain
+                                              : ForwardReason::kPlaced,
+                  .server = *server};
 }
 
 /// Updates the highest acknowledgement number. Sequence numbers wrap, and
 /// packets may be reordered. A step of more than 1 MiB means that two servers
 /// have answered the opening packet, so the answer's length is unknown.
-void UpdateAckNumber(OpenFlow& flow, std::uint32_t received) {
+void UpdateAckNumber(OpenFlow& flow, std::uint32_t ack_number) {
   constexpr std::int32_t kMaxStep = 1 << 20;
-  const auto step = static_cast<std::int32_t>(received - flow.received);
+  const auto step = static_cast<std::int32_t>(ack_number - flow.ack_number);
   if (step > kMaxStep || step < -kMaxStep) {
     flow.length_valid = false;
   } else if (step > 0) {
-    flow.received = received;
+    flow.ack_number = ack_number;
   }
 }
 
@@ -135,10 +136,10 @@
                     TimePoint now) {
   if (succeeded && flow.answered && !flow.overdue &&
       flow.objective.count() > 0) {
-    NoteServed(forwarder.admission,
-               forwarder.placement.servers[flow.server].service,
-               std::chrono::duration_cast<Milliseconds>(now - flow.opened_at),
-               flow.objective, now);
+    RecordFlowDuration(
+        forwarder.admission, forwarder.placement.servers[flow.server].service,
+        std::chrono::duration_cast<Milliseconds>(now - flow.opened_at),
+        flow.objective, now);
   }
 }
 
@@ -153,25 +154,26 @@
   OpenFlow& flow = known->second;
   if (!flow.answered && !packet.aborts) {
     flow.answered = true;
-    flow.first_ack_number = packet.received;
-    flow.received = packet.received;
+    flow.first_ack_number = packet.ack_number;
+    flow.ack_number = packet.ack_number;
     forwarder.first_answer.Add(
         std::chrono::duration_cast<Microseconds>(now - flow.opened_at));
-    NoteAnswered(forwarder.placement, flow.server, now);
-    NoteBegun(forwarder.admission, flow.service);
+    RecordAnswered(forwarder.placement, flow.server, now);
+    AddFlowInFlight(forwarder.admission, flow.service);
   }
-  UpdateAckNumber(flow, packet.received);
+  UpdateAckNumber(flow, packet.ack_number);
   if (packet.closes || packet.aborts) {
     std::optional<Milliseconds> duration;
     if (packet.closes) {
       duration = std::chrono::duration_cast<Milliseconds>(now - flow.opened_at);
     }
-    NoteEnded(forwarder.placement, flow.server, flow.answered, duration, now);
+    RecordFlowEnd(forwarder.placement, flow.server, flow.answered, duration,
+                  now);
     RemoveFromAdmission(forwarder, flow);
     if (packet.closes && flow.length_valid) {
-      const bool succeeded =
-          RecordClosedFlow(forwarder.outcomes, KeyOf(packet.key.address),
-                           flow.server, flow.received - flow.first_ack_number);
+      const bool succeeded = RecordClosedFlow(
+          forwarder.outcomes, KeyOf(packet.key.address), flow.server,
+          flow.ack_number - flow.first_ack_number);
       RecordDuration(forwarder, flow, succeeded, now);
     } else if (packet.aborts && flow.answered && !flow.overdue) {
       RecordFailure(forwarder.outcomes, flow.server);
@@ -228,8 +230,8 @@
       forwarder.timers.emplace(flow.expires_at, key);
       continue;
     }
-    NoteEnded(forwarder.placement, flow.server, flow.answered, std::nullopt,
-              now);
+    RecordFlowEnd(forwarder.placement, flow.server, flow.answered, std::nullopt,
+                  now);
     forwarder.counters.expired += 1;
     forwarder.flows.erase(found);
   }
--- a/Source/Forwarding/Forwarder.h
+++ b/Source/Forwarding/Forwarder.h
@@ -63,7 +63,7 @@
   /// Acknowledgement number of the first packet after the opening one. The
   /// answer's length is counted from here.
   std::uint32_t first_ack_number = 0;
-  std::uint32_t received = 0;  ///< Highest acknowledgement number so far.
+  std::uint32_t ack_number = 0;  ///< Highest acknowledgement number so far.
   /// False when two servers have answered copies of the opening packet. Their
   /// sequence numbers differ, so the answer's length is unknown.
   bool length_valid = true;
--- a/Source/Forwarding/HeldOpenings.cc
+++ b/Source/Forwarding/HeldOpenings.cc
@@ -34,7 +34,7 @@
 bool HoldOpening(HeldOpenings& held, const FlowPacket& packet,
                  std::span<const std::uint8_t> bytes, TimePoint now) {
   const bool known = held.openings.contains(packet.key);
-  if (packet.repeat_after <= kNetworkDelay ||
+  if (packet.retransmit_after <= kNetworkDelay ||
       (!known && held.openings.size() >= kMaxOpenings)) {
     held.lapsed += 1;
     return false;
@@ -42,8 +42,8 @@
   held.openings[packet.key] =
       HeldOpening{.key = packet.key,
                   .bytes = {bytes.begin(), bytes.end()},
-                  .first_sent_at = now - packet.repeated_for,
-                  .expires_at = now + packet.repeat_after - kNetworkDelay};
+                  .first_sent_at = now - packet.since_first_copy,
+                  .expires_at = now + packet.retransmit_after - kNetworkDelay};
   return true;
 }
 
@@ -67,7 +67,7 @@
   held.release_at = held.queue.empty() ? TimePoint::max() : now;
 }
 
-std::vector<HeldOpening> ReleaseDue(HeldOpenings& held, TimePoint now) {
+std::vector<HeldOpening> TakeDueOpenings(HeldOpenings& held, TimePoint now) {
   std::vector<HeldOpening> due;
   if (now < held.release_at) {
     return due;
--- a/Source/Forwarding/HeldOpenings.h
+++ b/Source/Forwarding/HeldOpenings.h
@@ -56,6 +56,6 @@
 
 /// Removes and returns the next batch, or nothing before `release_at`. Expired
 /// packets are discarded. Sets `release_at` to the time of the next batch.
-std::vector<HeldOpening> ReleaseDue(HeldOpenings& held, TimePoint now);
+std::vector<HeldOpening> TakeDueOpenings(HeldOpenings& held, TimePoint now);
 
 }  // namespace filbertwall
--- a/Source/Node/Node.h
+++ b/Source/Node/Node.h
@@ -104,14 +104,14 @@
 };
 /// A health check by the fabric, which sends packets and requests only to
 /// instances whose health check succeeds.
-struct HealthAsked {
+struct HealthCheckRequested {
   std::uint64_t id = 0;  ///< HTTP request; its response repeats the id.
 };
 struct StopRequested {};
 using NodeEvent =
     std::variant<NodeStarted, NodeTick, MessageArrived, AnnouncementArrived,
-                 HealthAsked, StopRequested, PacketsArrived, RequestArrived,
-                 CallerLeft, AttemptEnded>;
+                 HealthCheckRequested, StopRequested, PacketsArrived,
+                 RequestArrived, CallerDisconnected, AttemptEnded>;
 
 struct SendToPeer {
   std::uint32_t to = 0;
@@ -131,7 +131,7 @@
   wire::RulesFile rules;
 };
 /// Sends the HTTP response to an announcement or a health check.
-struct AnswerLocal {
+struct AnswerLocalHttp {
   std::uint64_t id = 0;  ///< HTTP request to respond to.
   int status = 200;
   std::string json;
@@ -141,11 +141,11 @@
 struct Stopped {};
 using NodeEffect =
     std::variant<SendToPeer, ReplyToOperator, PersistControl, PersistRules,
-                 AnswerLocal, StartAttempt, CancelAttempt, AnswerCaller,
+                 AnswerLocalHttp, StartAttempt, CancelAttempt, AnswerCaller,
                  FlowEffects, LogRecord, Stopped>;
 
 /// Initial state of a node: its settings and what it stored before a restart.
-struct NodeParts {
+struct NodeInitialState {
   Settings settings;
   std::uint64_t incarnation = 0;  ///< Differs at each start.
   std::vector<wire::DurableRecord> control_log;
@@ -153,7 +153,7 @@
 };
 
 /// Restores a node from its settings and stored state.
-Node MakeNode(const NodeParts& parts);
+Node MakeNode(const NodeInitialState& initial_state);
 
 /// Applies one event and returns its effects in the order of execution.
 /// Precondition: `now` is not earlier than in the previous call.
--- a/Source/Node/NodeBackends.cc
+++ b/Source/Node/NodeBackends.cc
@@ -17,23 +17,23 @@
   return json;
 }
 
-void Reject(NodeTurn& turn, std::uint64_t id, const std::string& reason) {
-  turn.node.counters["announcements_rejected"] += 1;
-  Log(turn, EventId::kAnnouncementRejected, reason, Severity::kWarning);
-  turn.effects.emplace_back(AnswerLocal{
+void Reject(NodeContext& context, std::uint64_t id, const std::string& reason) {
+  context.node.counters["announcements_rejected"] += 1;
+  Log(context, EventId::kAnnouncementRejected, reason, Severity::kWarning);
+  context.effects.emplace_back(AnswerLocalHttp{
       .id = id, .status = 400, .json = ReplyJson("refused", reason)});
 }
 
 /// Adds a valid and newer record to the directory.
-void ApplyRecord(NodeTurn& turn, const wire::BackendRecord& record) {
-  Node& node = turn.node;
+void ApplyRecord(NodeContext& context, const wire::BackendRecord& record) {
+  Node& node = context.node;
   const std::uint64_t before = node.directory.generation;
   if (!CheckAnnouncement(record.announcement()).empty() ||
-      !TakeAnnouncement(node.directory, record, turn.now)) {
+      !ApplyAnnouncement(node.directory, record, context.now)) {
     return;
   }
   if (node.directory.generation != before) {
-    Log(turn, EventId::kBackendChanged,
+    Log(context, EventId::kBackendChanged,
         record.announcement().address() + " " +
             record.announcement().service() + " " +
             wire::BackendPhase_Name(record.announcement().phase()));
@@ -42,31 +42,32 @@
 
 }  // namespace
 
-void HandleAnnouncement(NodeTurn& turn, const AnnouncementArrived& event) {
+void HandleAnnouncement(NodeContext& context,
+                        const AnnouncementArrived& event) {
   wire::BackendRecord record;
   const auto status = google::protobuf::util::JsonStringToMessage(
       event.json, record.mutable_announcement());
   if (!status.ok()) {
-    Reject(turn, event.id, "expected a JSON object as in docs/backends.md");
+    Reject(context, event.id, "expected a JSON object as in docs/backends.md");
     return;
   }
   const std::string fault = CheckAnnouncement(record.announcement());
   if (!fault.empty()) {
-    Reject(turn, event.id, fault);
+    Reject(context, event.id, fault);
     return;
   }
-  record.set_data_centre(turn.node.settings.data_centre);
-  ApplyRecord(turn, record);
+  record.set_data_centre(context.node.settings.data_centre);
+  ApplyRecord(context, record);
   wire::Envelope envelope;
   *envelope.mutable_directory()->add_records() = record;
-  SendToEntryPeers(turn, envelope);
-  turn.effects.emplace_back(
-      AnswerLocal{.id = event.id, .json = ReplyJson("taken", "")});
+  SendToEntryPeers(context, envelope);
+  context.effects.emplace_back(
+      AnswerLocalHttp{.id = event.id, .json = ReplyJson("taken", "")});
 }
 
-void HandleDirectory(NodeTurn& turn, const wire::Directory& message) {
+void HandleDirectory(NodeContext& context, const wire::Directory& message) {
   for (const wire::BackendRecord& record : message.records()) {
-    ApplyRecord(turn, record);
+    ApplyRecord(context, record);
   }
 }
 
--- a/Source/Node/NodeOrders.cc
+++ b/Source/Node/NodeOrders.cc
@@ -11,61 +11,62 @@
 /// been dispatched or expired.
 constexpr Milliseconds kClaimSettleTime{2000};
 
-void RequestRecords(NodeTurn& turn, std::uint32_t from,
+void RequestRecords(NodeContext& context, std::uint32_t from,
                     const std::string& after) {
   wire::Envelope envelope;
   envelope.mutable_records_pull()->set_after(after);
-  SendPeer(turn, from, std::move(envelope));
+  SendPeer(context, from, std::move(envelope));
 }
 
 }  // namespace
 
-void HandleClaim(NodeTurn& turn, std::uint32_t from, const wire::Claim& claim) {
+void HandleClaim(NodeContext& context, std::uint32_t from,
+                 const wire::Claim& claim) {
   wire::Envelope envelope;
   *envelope.mutable_claim_reply() =
-      TakeClaim(turn.node.orders, claim, turn.now);
-  SendPeer(turn, from, std::move(envelope));
+      ProcessClaim(context.node.orders, claim, context.now);
+  SendPeer(context, from, std::move(envelope));
 }
 
-void HandleOutcome(NodeTurn& turn, const wire::Outcome& outcome) {
-  TakeOutcome(turn.node.orders, outcome.record(), turn.now);
+void HandleOutcome(NodeContext& context, const wire::Outcome& outcome) {
+  RecordOutcome(context.node.orders, outcome.record(), context.now);
 }
 
-void PullRecords(NodeTurn& turn) {
-  Node& node = turn.node;
-  const bool settled = turn.now - node.started_at >= kClaimSettleTime;
+void PullRecords(NodeContext& context) {
+  Node& node = context.node;
+  const bool settled = context.now - node.started_at >= kClaimSettleTime;
   if (node.orders.unsure_with.empty() || !settled ||
-      turn.now < node.next_records_pull_at) {
+      context.now < node.next_records_pull_at) {
     return;
   }
-  node.next_records_pull_at = turn.now + kRecordsPullInterval;
+  node.next_records_pull_at = context.now + kRecordsPullInterval;
   for (const auto& [id, peer] : node.peers) {
     if (peer.settings.roles.entry && peer.heard && !peer.records_pulled) {
-      RequestRecords(turn, id, "");
+      RequestRecords(context, id, "");
     }
   }
 }
 
-void HandleRecordsPull(NodeTurn& turn, std::uint32_t from,
+void HandleRecordsPull(NodeContext& context, std::uint32_t from,
                        const wire::RecordsPull& pull) {
   wire::Envelope envelope;
   *envelope.mutable_records_page() =
-      PageOfRecords(turn.node.orders, pull.after(), turn.now);
-  SendPeer(turn, from, std::move(envelope));
+      BuildRecordsPage(context.node.orders, pull.after(), context.now);
+  SendPeer(context, from, std::move(envelope));
 }
 
-void HandleRecordsPage(NodeTurn& turn, std::uint32_t from,
+void HandleRecordsPage(NodeContext& context, std::uint32_t from,
                        const wire::RecordsPage& page) {
-  Node& node = turn.node;
+  Node& node = context.node;
   const bool unsure_before = !node.orders.unsure_with.empty();
-  MergeRecords(node.orders, from, page, turn.now);
+  MergeRecords(node.orders, from, page, context.now);
   if (!page.next().empty()) {
-    RequestRecords(turn, from, page.next());
+    RequestRecords(context, from, page.next());
     return;
   }
   node.peers.at(from).records_pulled = true;
   if (unsure_before && node.orders.unsure_with.empty()) {
-    Log(turn, EventId::kOrderMemoryRepaired,
+    Log(context, EventId::kOrderRecordsRestored,
         std::to_string(node.orders.records.size()) + " records");
   }
 }
--- a/Source/Node/NodePeers.cc
+++ b/Source/Node/NodePeers.cc
@@ -34,17 +34,17 @@
   return hello;
 }
 
-void SendHello(NodeTurn& turn, std::uint32_t to) {
+void SendHello(NodeContext& context, std::uint32_t to) {
   wire::Envelope envelope;
-  *envelope.mutable_hello() = MakeHello(turn.node, turn.now);
+  *envelope.mutable_hello() = MakeHello(context.node, context.now);
   envelope.mutable_hello()->set_heard_incarnation(
-      turn.node.peers.at(to).hello.incarnation());
-  SendPeer(turn, to, std::move(envelope));
+      context.node.peers.at(to).hello.incarnation());
+  SendPeer(context, to, std::move(envelope));
 }
 
-void UpdateKnownLeader(NodeTurn& turn, std::uint32_t from,
+void UpdateKnownLeader(NodeContext& context, std::uint32_t from,
                        const wire::Hello& hello) {
-  Node& node = turn.node;
+  Node& node = context.node;
   if (hello.leader_with_lease()) {
     node.known_leader = from;
   } else if (node.known_leader == from) {
@@ -54,32 +54,34 @@
 
 /// Sends a hello at once if the peer has newer rules, so that the peer pushes
 /// them before the next periodic hello.
-void RequestRules(NodeTurn& turn, std::uint32_t from,
+void RequestRules(NodeContext& context, std::uint32_t from,
                   const wire::Hello& hello) {
   constexpr Milliseconds kRulesPullInterval{50};
-  Node& node = turn.node;
+  Node& node = context.node;
   const bool newer = hello.rules_version() > node.rules_file.version();
-  if (!newer || turn.now < node.next_rules_pull_at) {
+  if (!newer || context.now < node.next_rules_pull_at) {
     return;
   }
-  node.next_rules_pull_at = turn.now + kRulesPullInterval;
-  SendHello(turn, from);
+  node.next_rules_pull_at = context.now + kRulesPullInterval;
+  SendHello(context, from);
 }
 
 /// Sends the rules in force to a peer that has older ones.
-void PushRules(NodeTurn& turn, std::uint32_t to, const wire::Hello& hello) {
-  const Node& node = turn.node;
+void PushRules(NodeContext& context, std::uint32_t to,
+               const wire::Hello& hello) {
+  const Node& node = context.node;
   if (hello.rules_version() >= node.rules_file.version()) {
     return;
   }
   wire::Envelope envelope;
   *envelope.mutable_rules_push()->mutable_rules() = node.rules_file;
-  SendPeer(turn, to, std::move(envelope));
+  SendPeer(context, to, std::move(envelope));
 }
 
 /// Sends the directory to a peer whose digest differs repeatedly.
-void RepairDirectory(NodeTurn& turn, Peer& peer, const wire::Hello& hello) {
-  if (hello.directory_digest() == turn.node.directory.digest) {
+void RepairDirectory(NodeContext& context, Peer& peer,
+                     const wire::Hello& hello) {
+  if (hello.directory_digest() == context.node.directory.digest) {
     peer.digest_mismatches = 0;
     return;
   }
@@ -90,77 +92,78 @@
   peer.digest_mismatches = 0;
   wire::Envelope envelope;
   *envelope.mutable_directory() =
-      DirectoryMessage(turn.node.directory, turn.now);
-  SendPeer(turn, peer.settings.id, std::move(envelope));
+      BuildDirectoryMessage(context.node.directory, context.now);
+  SendPeer(context, peer.settings.id, std::move(envelope));
 }
 
-void RecordHello(NodeTurn& turn, Peer& peer, const wire::Hello& hello) {
+void RecordHello(NodeContext& context, Peer& peer, const wire::Hello& hello) {
   const bool restarted = peer.heard && peer.hello.incarnation() != 0 &&
                          hello.incarnation() != peer.hello.incarnation();
   if (restarted) {
     peer.consecutive_hellos = 0;
     peer.records_pulled = false;
-    Log(turn, EventId::kPeerRestarted,
+    Log(context, EventId::kPeerRestarted,
         "instance " + std::to_string(peer.settings.id));
   }
   peer.hello = hello;
   peer.heard = true;
-  peer.heard_at = turn.now;
+  peer.heard_at = context.now;
   peer.consecutive_hellos += 1;
   const bool now_alive =
       !hello.stopping() && peer.consecutive_hellos >= kHellosUntilAlive;
   if (now_alive && !peer.alive) {
     peer.alive = true;
-    turn.node.silent.erase(peer.settings.id);
-    Log(turn, EventId::kPeerAlive,
+    context.node.silent.erase(peer.settings.id);
+    Log(context, EventId::kPeerAlive,
         "instance " + std::to_string(peer.settings.id));
   }
   if (hello.stopping()) {
     peer.alive = false;
-    turn.node.silent.insert(peer.settings.id);
+    context.node.silent.insert(peer.settings.id);
   }
 }
 
 }  // namespace
 
-void SendHellos(NodeTurn& turn) {
-  Node& node = turn.node;
-  if (turn.now < node.next_hello_at) {
+void SendHellos(NodeContext& context) {
+  Node& node = context.node;
+  if (context.now < node.next_hello_at) {
     return;
   }
-  if (node.has_replica && HasLease(node.replica, turn.now)) {
+  if (node.has_replica && HasLease(node.replica, context.now)) {
     node.known_leader = node.settings.id;
   } else if (node.known_leader == node.settings.id) {
     node.known_leader = 0;
   }
   // The interval varies by up to 49 ms between instances and restarts.
   const std::uint64_t phase = MixHash(node.settings.id, node.incarnation);
-  node.next_hello_at = turn.now + kHelloInterval + Milliseconds(phase % 50);
+  node.next_hello_at = context.now + kHelloInterval + Milliseconds(phase % 50);
   for (const auto& [id, peer] : node.peers) {
-    SendHello(turn, id);
+    SendHello(context, id);
   }
 }
 
-void HandleHello(NodeTurn& turn, std::uint32_t from, const wire::Hello& hello) {
-  Peer& peer = turn.node.peers.at(from);
-  RecordHello(turn, peer, hello);
-  UpdateKnownLeader(turn, from, hello);
-  RequestRules(turn, from, hello);
-  PushRules(turn, from, hello);
-  if (peer.settings.roles.entry && turn.node.settings.roles.entry) {
-    RepairDirectory(turn, peer, hello);
+void HandleHello(NodeContext& context, std::uint32_t from,
+                 const wire::Hello& hello) {
+  Peer& peer = context.node.peers.at(from);
+  RecordHello(context, peer, hello);
+  UpdateKnownLeader(context, from, hello);
+  RequestRules(context, from, hello);
+  PushRules(context, from, hello);
+  if (peer.settings.roles.entry && context.node.settings.roles.entry) {
+    RepairDirectory(context, peer, hello);
   }
 }
 
-void CheckPeerTimeouts(NodeTurn& turn) {
+void CheckPeerTimeouts(NodeContext& context) {
   constexpr Milliseconds kPeerCheckInterval{100};
-  Node& node = turn.node;
-  if (turn.now < node.next_peer_check_at) {
+  Node& node = context.node;
+  if (context.now < node.next_peer_check_at) {
     return;
   }
-  node.next_peer_check_at = turn.now + kPeerCheckInterval;
+  node.next_peer_check_at = context.now + kPeerCheckInterval;
   for (auto& [id, peer] : node.peers) {
-    if (turn.now - peer.heard_at <= kPeerTimeout) {
+    if (context.now - peer.heard_at <= kPeerTimeout) {
       continue;
     }
     peer.consecutive_hellos = 0;
@@ -170,7 +173,7 @@
     if (peer.alive) {
       peer.alive = false;
       node.silent.insert(id);
-      Log(turn, EventId::kPeerSilent, "instance " + std::to_string(id),
+      Log(context, EventId::kPeerSilent, "instance " + std::to_string(id),
           Severity::kWarning);
     }
   }
--- a/Source/Node/NodeRules.cc
+++ b/Source/Node/NodeRules.cc
@@ -54,17 +54,17 @@
 
 /// Marks the order records as complete if no rules file was ever accepted: no
 /// order can have been served before.
-void ClearUnsureForNewDeployment(NodeTurn& turn, std::uint64_t required) {
-  if (required == 0 && !turn.node.orders.unsure_with.empty()) {
-    turn.node.orders.unsure_with.clear();
-    Log(turn, EventId::kOrderMemoryRepaired, "no rules were ever in force");
+void ClearUnsureForNewDeployment(NodeContext& context, std::uint64_t required) {
+  if (required == 0 && !context.node.orders.unsure_with.empty()) {
+    context.node.orders.unsure_with.clear();
+    Log(context, EventId::kOrderRecordsRestored, "no rules were ever in force");
   }
 }
 
 }  // namespace
 
-void TakeRules(NodeTurn& turn, const wire::RulesFile& file) {
-  Node& node = turn.node;
+void ApplyRulesFile(NodeContext& context, const wire::RulesFile& file) {
+  Node& node = context.node;
   if (file.version() <= node.rules_file.version()) {
     return;
   }
@@ -76,29 +76,29 @@
   node.rules_file = file;
   node.rules = std::move(parsed.rules);
   node.directory.generation += 1;
-  node.next_hello_at = turn.now;  // Announces the new version at once.
-  turn.effects.emplace_back(PersistRules{.rules = file});
-  Log(turn, EventId::kRulesInForce,
+  node.next_hello_at = context.now;  // Announces the new version at once.
+  context.effects.emplace_back(PersistRules{.rules = file});
+  Log(context, EventId::kRulesInForce,
       "version " + std::to_string(file.version()) + " from " +
           file.submitter());
 }
 
-void ConfirmRules(NodeTurn& turn) {
-  Node& node = turn.node;
+void ConfirmRules(NodeContext& context) {
+  Node& node = context.node;
   if (node.serving) {
     return;
   }
-  const auto required = RequiredVersion(node, turn.now);
+  const auto required = RequiredVersion(node, context.now);
   if (!required) {
     return;
   }
-  ClearUnsureForNewDeployment(turn, *required);
+  ClearUnsureForNewDeployment(context, *required);
   const bool ready = node.rules_file.version() >= *required &&
                      node.rules_file.version() > 0 &&
-                     PeerStatusKnown(node, turn.now);
+                     PeerStatusKnown(node, context.now);
   if (ready) {
     node.serving = true;
-    Log(turn, EventId::kServing,
+    Log(context, EventId::kServing,
         "rules version " + std::to_string(node.rules_file.version()));
   }
 }
--- a/Source/Node/NodeTurn.h
+++ b/Source/Node/NodeTurn.h
@@ -13,60 +13,62 @@
 inline constexpr Milliseconds kPeerTimeout{2000};
 
 /// Context of one call of `Reduce`: its node and time, and the effects so far.
-struct NodeTurn {
+struct NodeContext {
   Node& node;
   TimePoint now;
   std::vector<NodeEffect>& effects;
 };
 
-void Log(NodeTurn& turn, EventId id, const std::string& text,
+void Log(NodeContext& context, EventId id, const std::string& text,
          Severity severity = Severity::kInfo);
-void SendPeer(NodeTurn& turn, std::uint32_t to, wire::Envelope envelope);
-void SendToEntryPeers(NodeTurn& turn, const wire::Envelope& envelope);
+void SendPeer(NodeContext& context, std::uint32_t to, wire::Envelope envelope);
+void SendToEntryPeers(NodeContext& context, const wire::Envelope& envelope);
 
 /// Passes an event to the local replica and handles the effects it returns.
-void RunReplica(NodeTurn& turn, const ControlEvent& event);
+void RunReplica(NodeContext& context, const ControlEvent& event);
 /// Passes an event to the request tier and handles the effects it returns.
-void RunRequests(NodeTurn& turn, const RequestEvent& event);
+void RunRequests(NodeContext& context, const RequestEvent& event);
 
 /// Puts a rules file in force if its version is higher than the current one.
-void TakeRules(NodeTurn& turn, const wire::RulesFile& file);
+void ApplyRulesFile(NodeContext& context, const wire::RulesFile& file);
 /// Starts serving once the local rules are at least as new as those known to
 /// a leader with a lease or to voters that are a majority of the control
 /// instances, and each peer is alive or has timed out.
 /// An instance thus never serves older rules than before its restart.
-void ConfirmRules(NodeTurn& turn);
+void ConfirmRules(NodeContext& context);
 
 /// Sends a hello to each peer when the next one is due.
-void SendHellos(NodeTurn& turn);
-void HandleHello(NodeTurn& turn, std::uint32_t from, const wire::Hello& hello);
+void SendHellos(NodeContext& context);
+void HandleHello(NodeContext& context, std::uint32_t from,
+                 const wire::Hello& hello);
 /// Marks peers as not alive after `kPeerTimeout` without a hello.
-void CheckPeerTimeouts(NodeTurn& turn);
+void CheckPeerTimeouts(NodeContext& context);
 
-void HandleAnnouncement(NodeTurn& turn, const AnnouncementArrived& event);
-void HandleDirectory(NodeTurn& turn, const wire::Directory& message);
+void HandleAnnouncement(NodeContext& context, const AnnouncementArrived& event);
+void HandleDirectory(NodeContext& context, const wire::Directory& message);
 
-void HandleClaim(NodeTurn& turn, std::uint32_t from, const wire::Claim& claim);
-void HandleOutcome(NodeTurn& turn, const wire::Outcome& outcome);
+void HandleClaim(NodeContext& context, std::uint32_t from,
+                 const wire::Claim& claim);
+void HandleOutcome(NodeContext& context, const wire::Outcome& outcome);
 /// Requests the order records of other entry instances. Once all are merged,
 /// this recorder can again confirm for every key that the key is new.
-void PullRecords(NodeTurn& turn);
-void HandleRecordsPull(NodeTurn& turn, std::uint32_t from,
+void PullRecords(NodeContext& context);
+void HandleRecordsPull(NodeContext& context, std::uint32_t from,
                        const wire::RecordsPull& pull);
-void HandleRecordsPage(NodeTurn& turn, std::uint32_t from,
+void HandleRecordsPage(NodeContext& context, std::uint32_t from,
                        const wire::RecordsPage& page);
 
-void HandleSubmit(NodeTurn& turn, const Submitter& submitter,
+void HandleSubmit(NodeContext& context, const Submitter& submitter,
                   const wire::Submit& submit);
-void HandleSubmitReply(NodeTurn& turn, const wire::SubmitReply& reply);
-void HandleRemoveMember(NodeTurn& turn, const Submitter& submitter,
+void HandleSubmitReply(NodeContext& context, const wire::SubmitReply& reply);
+void HandleRemoveMember(NodeContext& context, const Submitter& submitter,
                         const wire::RemoveMember& remove);
 /// Reports a verdict to the submitter. UNKNOWN is not reported before the
 /// submission expires; until then the submission is retried.
-void HandleVerdict(NodeTurn& turn, std::uint64_t token, wire::Verdict verdict,
-                   const std::string& reason);
+void HandleVerdict(NodeContext& context, std::uint64_t token,
+                   wire::Verdict verdict, const std::string& reason);
 /// Retries pending submissions and ends expired ones with UNKNOWN.
-void RetrySubmissions(NodeTurn& turn);
-void HandleOperator(NodeTurn& turn, const MessageArrived& event);
+void RetrySubmissions(NodeContext& context);
+void HandleOperator(NodeContext& context, const MessageArrived& event);
 
 }  // namespace filbertwall
--- a/Source/Outcomes/Outcomes.cc
+++ b/Source/Outcomes/Outcomes.cc
@@ -80,7 +80,7 @@
 
 }  // namespace
 
-void AddOutcomes(OutcomeLedger& stats, const std::string& server,
+void AddOutcomes(OutcomeStats& stats, const std::string& server,
                  std::uint32_t served, std::uint32_t failed, TimePoint now) {
   OutcomeCounts& counts = stats.servers[server];
   counts = Decay(counts, now);
@@ -88,19 +88,19 @@
   counts.failed += failed;
 }
 
-OutcomeCounts CountsOf(const OutcomeLedger& stats, const std::string& server,
-                       TimePoint now) {
+OutcomeCounts GetOutcomeCounts(const OutcomeStats& stats,
+                               const std::string& server, TimePoint now) {
   const auto found = stats.servers.find(server);
   return found == stats.servers.end() ? OutcomeCounts{}
                                       : Decay(found->second, now);
 }
 
-std::set<std::string> FindFailing(
-    const OutcomeLedger& stats, const std::vector<std::string>& server_ids,
+std::set<std::string> FindFailingServers(
+    const OutcomeStats& stats, const std::vector<std::string>& server_ids,
     const std::set<std::string>& previously_failing, TimePoint now) {
   std::vector<Candidate> candidates;
   for (const std::string& id : server_ids) {
-    Candidate candidate{.id = id, .counts = CountsOf(stats, id, now)};
+    Candidate candidate{.id = id, .counts = GetOutcomeCounts(stats, id, now)};
     candidate.failure_rate =
         FailureRate(candidate.counts.served, candidate.counts.failed);
     candidates.push_back(candidate);
@@ -129,7 +129,7 @@
   return failing;
 }
 
-void ForgetOutcomes(OutcomeLedger& stats, TimePoint now) {
+void RemoveExpiredOutcomes(OutcomeStats& stats, TimePoint now) {
   std::erase_if(stats.servers, [&](const auto& item) {
     const OutcomeCounts counts = Decay(item.second, now);
     return counts.served + counts.failed < kNegligible;
--- a/Source/Outcomes/Outcomes.h
+++ b/Source/Outcomes/Outcomes.h
@@ -25,18 +25,18 @@
   TimePoint at;  ///< The time for which the decayed counts are valid.
 };
 
-struct OutcomeLedger {
+struct OutcomeStats {
   std::map<std::string, OutcomeCounts> servers;  ///< By id.
 };
 
 /// Adds ended flows of a server to its counts.
-void AddOutcomes(OutcomeLedger& stats, const std::string& server,
+void AddOutcomes(OutcomeStats& stats, const std::string& server,
                  std::uint32_t served, std::uint32_t failed, TimePoint now);
 
 /// Returns the counts of a server, decayed to `now`; zero for an unknown
 /// server.
-OutcomeCounts CountsOf(const OutcomeLedger& stats, const std::string& server,
-                       TimePoint now);
+OutcomeCounts GetOutcomeCounts(const OutcomeStats& stats,
+                               const std::string& server, TimePoint now);
 
 /// Returns which servers of a service are failing: those whose failure rate is
 /// significantly higher than the rate of the others, at most a third of the
@@ -44,11 +44,11 @@
 /// is the previous result: such a server is returned again until its failure
 /// rate is below half of the threshold for the rest, or until it has very
 /// few recent failures.
-std::set<std::string> FindFailing(
-    const OutcomeLedger& stats, const std::vector<std::string>& server_ids,
+std::set<std::string> FindFailingServers(
+    const OutcomeStats& stats, const std::vector<std::string>& server_ids,
     const std::set<std::string>& previously_failing, TimePoint now);
 
 /// Removes servers whose counts have decayed to almost zero.
-void ForgetOutcomes(OutcomeLedger& stats, TimePoint now);
+void RemoveExpiredOutcomes(OutcomeStats& stats, TimePoint now);
 
 }  // namespace filbertwall
--- a/Source/Placement/Placement.cc
+++ b/Source/Placement/Placement.cc
@@ -103,13 +103,13 @@
 /// one in `kFlowsPerProbe` of the flows that it would get if it were not
 /// failing.
 std::optional<ServerIndex> ChooseFailingServer(Placement& placement,
-                                               const NewFlow& flow,
+                                               const PlacementRequest& flow,
                                                TimePoint now) {
   constexpr std::uint64_t kFlowsPerProbe = 12;
   const std::vector<ServerIndex>& failing =
       placement.failing_by_service[flow.service];
   const std::size_t usable = placement.usable_by_service[flow.service].size();
-  if (failing.empty() || !flow.repeatable || flow.except) {
+  if (failing.empty() || !flow.retryable || flow.unanswered_server) {
     return std::nullopt;
   }
   const std::uint64_t draw =
@@ -128,7 +128,7 @@
 
 }  // namespace
 
-std::uint64_t NumberOf(std::string_view id) {
+std::uint64_t ParseServerNumber(std::string_view id) {
   constexpr unsigned kBitsOfDigit = 4;
   std::uint64_t number = 0;
   for (const char character : id) {
@@ -162,7 +162,8 @@
   const auto [position, added] = placement.by_id.emplace(
       record.id(), static_cast<ServerIndex>(placement.servers.size()));
   if (added) {
-    PlacedServer fresh{.id = record.id(), .number = NumberOf(record.id())};
+    PlacedServer fresh{.id = record.id(),
+                       .number = ParseServerNumber(record.id())};
     fresh.token = static_cast<std::uint32_t>(fresh.number);
     placement.servers.push_back(fresh);
     // When two servers have the same token, the first one keeps it and
@@ -218,7 +219,8 @@
 }
 
 std::optional<ServerIndex> ChooseServer(Placement& placement,
-                                        const NewFlow& flow, TimePoint now) {
+                                        const PlacementRequest& flow,
+                                        TimePoint now) {
   if (flow.service >= placement.usable_by_service.size()) {
     return std::nullopt;
   }
@@ -246,11 +248,12 @@
     const PlacedServer& server = placement.servers[index];
     const PlacedDataCentre& data_centre =
         placement.data_centres[server.data_centre];
-    const double cost = CostOf(placement, server, now) +
-                        (IsAvoided(server, now) ? kAvoidedCost : 0) +
-                        (now < data_centre.avoid_until ? kAvoidedCost : 0) +
-                        (server.failing ? kFailingCost : 0) +
-                        (flow.except == index ? kUnansweredServerCost : 0);
+    const double cost =
+        CostOf(placement, server, now) +
+        (IsAvoided(server, now) ? kAvoidedCost : 0) +
+        (now < data_centre.avoid_until ? kAvoidedCost : 0) +
+        (server.failing ? kFailingCost : 0) +
+        (flow.unanswered_server == index ? kUnansweredServerCost : 0);
     if (cost < best_cost) {
       best = index;
       best_cost = cost;
@@ -273,7 +276,7 @@
   return found->second;
 }
 
-void NoteOpening(PlacedServer& server, TimePoint now) {
+void RecordOpening(PlacedServer& server, TimePoint now) {
   server.in_flight += 1;
   if (server.pending_openings == 0) {
     server.pending_since = now;
@@ -281,7 +284,7 @@
   server.pending_openings += 1;
 }
 
-void NoteAnswered(Placement& placement, ServerIndex index, TimePoint now) {
+void RecordAnswered(Placement& placement, ServerIndex index, TimePoint now) {
   PlacedServer& server = placement.servers[index];
   PlacedDataCentre& data_centre = placement.data_centres[server.data_centre];
   data_centre.consecutive_unanswered = 0;
@@ -293,7 +296,7 @@
   server.avoid_until = {};
 }
 
-void NoteUnanswered(Placement& placement, ServerIndex index, TimePoint now) {
+void RecordUnanswered(Placement& placement, ServerIndex index, TimePoint now) {
   PlacedServer& server = placement.servers[index];
   PlacedDataCentre& data_centre = placement.data_centres[server.data_centre];
   data_centre.consecutive_unanswered += 1;
@@ -307,8 +310,8 @@
   }
 }
 
-void NoteEnded(Placement& placement, ServerIndex index, bool answered,
-               std::optional<Milliseconds> duration, TimePoint now) {
+void RecordFlowEnd(Placement& placement, ServerIndex index, bool answered,
+                   std::optional<Milliseconds> duration, TimePoint now) {
   PlacedServer& server = placement.servers[index];
   server.in_flight -= server.in_flight > 0 ? 1 : 0;
   if (!answered) {
--- a/Source/Placement/Placement.h
+++ b/Source/Placement/Placement.h
@@ -24,7 +24,7 @@
 /// The state of a backend server at one entry instance.
 struct PlacedServer {
   std::string id;
-  /// `NumberOf(id)`; written to the header of forwarded datagrams.
+  /// `ParseServerNumber(id)`; written to the header of forwarded datagrams.
   std::uint64_t number = 0;
   /// Identifies the server in each packet of its flows; the low 32 bits of
   /// `number`.
@@ -94,7 +94,7 @@
 
 /// Returns the number formed by the last 16 hexadecimal digits of a server id;
 /// skips all other characters.
-std::uint64_t NumberOf(std::string_view id);
+std::uint64_t ParseServerNumber(std::string_view id);
 
 /// Returns the index of a service; adds the service when its name is unknown.
 ServiceIndex InternService(Placement& placement, const std::string& name);
@@ -110,11 +110,11 @@
 void RefreshUsable(Placement& placement);
 
 /// A new flow for which a server is to be chosen.
-struct NewFlow {
+struct PlacementRequest {
   ServiceIndex service = 0;
   /// The server that did not answer the flow's previous opening packet.
-  std::optional<ServerIndex> except;
-  bool repeatable = false;  ///< The caller may retry the request.
+  std::optional<ServerIndex> unanswered_server;
+  bool retryable = false;  ///< The caller may retry the request.
 };
 
 /// Returns the server for a new flow; empty when the service has no usable
@@ -122,23 +122,24 @@
 /// failing server still gets a few flows whose requests may be retried, so that
 /// its recovery can be detected.
 std::optional<ServerIndex> ChooseServer(Placement& placement,
-                                        const NewFlow& flow, TimePoint now);
+                                        const PlacementRequest& flow,
+                                        TimePoint now);
 
 /// Returns the server whose flows carry `token`; empty when it is unknown.
 std::optional<ServerIndex> FindByToken(const Placement& placement,
                                        std::uint32_t token);
 
 /// Records that an opening packet is sent to the server.
-void NoteOpening(PlacedServer& server, TimePoint now);
+void RecordOpening(PlacedServer& server, TimePoint now);
 /// Records that the server has accepted a flow, as shown by a later packet of
 /// the caller.
-void NoteAnswered(Placement& placement, ServerIndex index, TimePoint now);
+void RecordAnswered(Placement& placement, ServerIndex index, TimePoint now);
 /// Records that the server did not answer an opening packet, as shown by its
 /// retransmission by the caller.
-void NoteUnanswered(Placement& placement, ServerIndex index, TimePoint now);
+void RecordUnanswered(Placement& placement, ServerIndex index, TimePoint now);
 /// Records the end of a flow. `answered` tells whether the server had accepted
 /// it; `duration` is empty when the flow was aborted or expired.
-void NoteEnded(Placement& placement, ServerIndex index, bool answered,
-               std::optional<Milliseconds> duration, TimePoint now);
+void RecordFlowEnd(Placement& placement, ServerIndex index, bool answered,
+                   std::optional<Milliseconds> duration, TimePoint now);
 
 }  // namespace filbertwall
--- a/Source/Registry/Registry.cc
+++ b/Source/Registry/Registry.cc
@@ -52,7 +52,7 @@
 
 }  // namespace
 
-std::string CheckRecord(const wire::ServerRecord& record) {
+std::string CheckServerRecord(const wire::ServerRecord& record) {
   if (record.id().empty() || record.id().size() > kMaxNameBytes) {
     return "id: expected 1 to 200 bytes";
   }
@@ -71,8 +71,8 @@
   return "";
 }
 
-bool MergeRecord(Registry& registry, const wire::ServerRecord& record,
-                 TimePoint now) {
+bool MergeServerRecord(Registry& registry, const wire::ServerRecord& record,
+                       TimePoint now) {
   const auto [position, added] = registry.servers.try_emplace(record.id());
   Server& server = position->second;
   if (added) {
@@ -96,7 +96,7 @@
   return true;
 }
 
-void NoteHeard(Registry& registry, const std::string& id, TimePoint now) {
+void UpdateLastHeard(Registry& registry, const std::string& id, TimePoint now) {
   const auto server = registry.servers.find(id);
   if (server == registry.servers.end()) {
     return;
@@ -118,7 +118,8 @@
   AssignNextChange(registry, id, server->second);
 }
 
-void KeepJudgement(const Registry& registry, wire::ServerRecord& record) {
+void PreserveFailingState(const Registry& registry,
+                          wire::ServerRecord& record) {
   const auto known = registry.servers.find(record.id());
   const bool same = known != registry.servers.end() &&
                     known->second.record.incarnation() == record.incarnation();
@@ -139,7 +140,8 @@
   return marked;
 }
 
-void ForgetGone(Registry& registry, Milliseconds limit, TimePoint now) {
+void RemoveExpiredServers(Registry& registry, Milliseconds limit,
+                          TimePoint now) {
   std::erase_if(registry.servers, [&](const auto& item) {
     const Server& server = item.second;
     const bool inactive =
--- a/Source/Registry/Registry.h
+++ b/Source/Registry/Registry.h
@@ -49,17 +49,17 @@
 
 /// Returns a description of the first error in a record; empty when the record
 /// is valid.
-std::string CheckRecord(const wire::ServerRecord& record);
+std::string CheckServerRecord(const wire::ServerRecord& record);
 
 /// Merges a record. Returns whether a field has changed that other instances
 /// must know. If not, at most `heard_at` and the sequence number are updated.
-/// Precondition: `CheckRecord` returns an empty string.
-bool MergeRecord(Registry& registry, const wire::ServerRecord& record,
-                 TimePoint now);
+/// Precondition: `CheckServerRecord` returns an empty string.
+bool MergeServerRecord(Registry& registry, const wire::ServerRecord& record,
+                       TimePoint now);
 
 /// Records that a server reported to another control instance, and clears its
 /// silent mark. Ignores unknown ids.
-void NoteHeard(Registry& registry, const std::string& id, TimePoint now);
+void UpdateLastHeard(Registry& registry, const std::string& id, TimePoint now);
 
 /// Marks a server as failing or clears the mark. A server is failing when too
 /// many of its flows fail. Ignores unknown ids.
@@ -69,7 +69,7 @@
 /// false when the registry has no record of the same incarnation. Each control
 /// instance decides on its own whether a server is failing; the value that a
 /// server or another control instance sent is ignored.
-void KeepJudgement(const Registry& registry, wire::ServerRecord& record);
+void PreserveFailingState(const Registry& registry, wire::ServerRecord& record);
 
 /// Marks servers as silent that have not reported to any control instance for
 /// longer than `limit`. Returns the number of servers marked by this call.
@@ -77,7 +77,8 @@
 
 /// Removes servers that are gone or silent and whose last report or update is
 /// older than `limit`.
-void ForgetGone(Registry& registry, Milliseconds limit, TimePoint now);
+void RemoveExpiredServers(Registry& registry, Milliseconds limit,
+                          TimePoint now);
 
 /// Returns the first `max_records` records that were modified after change
 /// number `change`. Their warm-up time is the time that remains at `now`.
--- a/Source/Requests/Balancer.cc
+++ b/Source/Requests/Balancer.cc
@@ -51,7 +51,7 @@
 double LoadPerWeightedSlot(const Backend& backend, const Rules& rules,
                            TimePoint now) {
   const std::uint32_t weight =
-      WeightOf(rules, backend.announcement.service(), backend.address);
+      GetBackendWeight(rules, backend.announcement.service(), backend.address);
   return (EstimatedLoad(backend, now) + 1.0) /
          (EffectiveSlots(backend, rules, now) * std::max(weight, 1U));
 }
@@ -86,7 +86,7 @@
 
 Choice ChooseBackend(const Directory& directory, const Rules& rules,
                      const ChoiceRequest& request, TimePoint now) {
-  Candidates all = CandidatesFor(directory, rules, request.service, now);
+  Candidates all = FindCandidates(directory, rules, request.service, now);
   if (all.empty()) {
     return {};
   }
--- a/Source/Requests/OrderLog.cc
+++ b/Source/Requests/OrderLog.cc
@@ -80,8 +80,8 @@
                       });
 }
 
-wire::ClaimReply TakeClaim(OrderLog& log, const wire::Claim& claim,
-                           TimePoint now) {
+wire::ClaimReply ProcessClaim(OrderLog& log, const wire::Claim& claim,
+                              TimePoint now) {
   const wire::OrderRecord& wanted = claim.record();
   wire::ClaimReply reply;
   reply.set_key(wanted.key());
@@ -110,8 +110,8 @@
   return reply;
 }
 
-void TakeOutcome(OrderLog& log, const wire::OrderRecord& record,
-                 TimePoint now) {
+void RecordOutcome(OrderLog& log, const wire::OrderRecord& record,
+                   TimePoint now) {
   const auto stored = log.records.find(record.key());
   const bool known = stored != log.records.end();
   const bool same_attempt =
@@ -146,8 +146,8 @@
   }
 }
 
-wire::RecordsPage PageOfRecords(const OrderLog& log, const std::string& after,
-                                TimePoint now) {
+wire::RecordsPage BuildRecordsPage(const OrderLog& log,
+                                   const std::string& after, TimePoint now) {
   wire::RecordsPage page;
   for (const std::uint32_t instance : log.unsure_with) {
     page.add_unsure_with(instance);
@@ -168,7 +168,7 @@
   return page;
 }
 
-void ExpireOrders(OrderLog& log, TimePoint now) {
+void RemoveExpiredOrders(OrderLog& log, TimePoint now) {
   std::erase_if(log.records, [&](const auto& item) {
     const bool expired = now - item.second.stored_at > log.retention;
     log.answer_bytes -= expired ? AnswerBytes(item.second.record) : 0;
--- a/Source/Requests/OrderLog.h
+++ b/Source/Requests/OrderLog.h
@@ -54,15 +54,16 @@
 /// existing record of another attempt. A grant marked `amnesiac` does not
 /// confirm that the key is new, since records of it may be missing here. When
 /// the log is full, the claim is not granted.
-wire::ClaimReply TakeClaim(OrderLog& log, const wire::Claim& claim,
-                           TimePoint now);
+wire::ClaimReply ProcessClaim(OrderLog& log, const wire::Claim& claim,
+                              TimePoint now);
 
 /// Records the outcome of an attempt. If the stored responses would then exceed
 /// `answer_byte_limit`, the order is kept as an INTENT without the response,
 /// and later requests with its key get "unknown". An outcome NOT_RUN without a
 /// response status withdraws a claim whose order was never dispatched: the
 /// INTENT of that attempt is removed.
-void TakeOutcome(OrderLog& log, const wire::OrderRecord& record, TimePoint now);
+void RecordOutcome(OrderLog& log, const wire::OrderRecord& record,
+                   TimePoint now);
 
 /// Merges records pulled from the recorder `from`. Of two records of a key, the
 /// one of the later generation is kept, or else the one with an outcome. The
@@ -73,12 +74,12 @@
 
 /// Returns the records that follow the key `after`, in key order. The page
 /// ends soon after 256 KiB.
-wire::RecordsPage PageOfRecords(const OrderLog& log, const std::string& after,
-                                TimePoint now);
+wire::RecordsPage BuildRecordsPage(const OrderLog& log,
+                                   const std::string& after, TimePoint now);
 
 /// Removes records older than the retention. Once this recorder has run for
 /// longer than that, it can confirm that any key is new, since all records lost
 /// in its restart would have expired.
-void ExpireOrders(OrderLog& log, TimePoint now);
+void RemoveExpiredOrders(OrderLog& log, TimePoint now);
 
 }  // namespace filbertwall
--- a/Source/Requests/RequestDispatch.cc
+++ b/Source/Requests/RequestDispatch.cc
@@ -21,28 +21,28 @@
   request.headers.push_back(field);
 }
 
-void SendAttempt(RequestTurn& turn, OpenRequest& open,
+void SendAttempt(RequestContext& context, OpenRequest& open,
                  const Endpoint& address) {
-  const TimePoint now = turn.context.now;
-  Backend& backend = turn.context.directory.backends.at(address);
-  ServiceLoad& load = turn.tier.services[open.service];
+  const TimePoint now = context.environment.now;
+  Backend& backend = context.environment.directory.backends.at(address);
+  ServiceLoad& load = context.tier.services[open.service];
   backend.own_in_flight += 1;
   load.running += 1;
   open.phase = RequestPhase::kRunning;
   open.backend = address;
   open.attempts += 1;
-  open.attempt = turn.tier.next_attempt++;
+  open.attempt = context.tier.next_attempt++;
   open.attempt_started_at = now;
   const auto remaining =
       std::chrono::duration_cast<Milliseconds>(open.deadline - now);
   // Divides the remaining time equally between this attempt and the retries
   // that are left.
   open.attempt_deadline = now + remaining / (open.retries_left + 1);
-  turn.tier.attempts[open.attempt] = open.id;
+  context.tier.attempts[open.attempt] = open.id;
   StartAttempt effect{
       .attempt = open.attempt, .backend = address, .request = open.request};
   SetDeadlineHeader(effect.request, remaining);
-  turn.effects.emplace_back(std::move(effect));
+  context.effects.emplace_back(std::move(effect));
 }
 
 /// Estimates the queueing delay of a request with `ahead` requests before it,
@@ -53,79 +53,80 @@
       load.mean_service_ms * static_cast<double>(ahead + 1) / concurrency));
 }
 
-void Enqueue(RequestTurn& turn, OpenRequest& open) {
-  ServiceLoad& load = turn.tier.services[open.service];
+void Enqueue(RequestContext& context, OpenRequest& open) {
+  ServiceLoad& load = context.tier.services[open.service];
   const bool interactive = open.traffic_class == TrafficClass::kInteractive;
   const std::size_t ahead =
       load.interactive.size() + (interactive ? 0 : load.bulk.size());
-  const TimePoint expected_start = turn.context.now + ExpectedWait(load, ahead);
+  const TimePoint expected_start =
+      context.environment.now + ExpectedWait(load, ahead);
   if (ahead >= open.queue_limit || expected_start >= open.deadline) {
     open.phase = RequestPhase::kQueued;
-    Count(turn, "shed");
-    FinishNotRun(turn, open, "all slots are taken");
+    Count(context, "shed");
+    FinishNotRun(context, open, "all slots are taken");
     return;
   }
   open.phase = RequestPhase::kQueued;
   (interactive ? load.interactive : load.bulk).push_back(open.id);
 }
 
-Choice ChooseBackendFor(RequestTurn& turn, const OpenRequest& open) {
+Choice ChooseBackendFor(RequestContext& context, const OpenRequest& open) {
   const ChoiceRequest request{
       .service = open.service,
-      .seed = MixHash(turn.tier.next_attempt, turn.tier.incarnation),
+      .seed = MixHash(context.tier.next_attempt, context.tier.incarnation),
       .already_tried = open.tried};
-  return ChooseBackend(turn.context.directory, turn.context.rules, request,
-                       turn.context.now);
+  return ChooseBackend(context.environment.directory, context.environment.rules,
+                       request, context.environment.now);
 }
 
-void DrainQueue(RequestTurn& turn, std::deque<std::uint64_t>& queue) {
+void DrainQueue(RequestContext& context, std::deque<std::uint64_t>& queue) {
   while (!queue.empty()) {
-    OpenRequest& open = turn.tier.open.at(queue.front());
-    if (open.deadline - turn.context.now < kMinAttemptTime) {
+    OpenRequest& open = context.tier.open.at(queue.front());
+    if (open.deadline - context.environment.now < kMinAttemptTime) {
       queue.pop_front();
-      FinishNotRun(turn, open, "no slot was free in time");
+      FinishNotRun(context, open, "no slot was free in time");
       continue;
     }
-    const Choice choice = ChooseBackendFor(turn, open);
+    const Choice choice = ChooseBackendFor(context, open);
     if (choice.kind != Choice::Kind::kChosen) {
       return;
     }
     queue.pop_front();
-    SendAttempt(turn, open, choice.backend);
+    SendAttempt(context, open, choice.backend);
   }
 }
 
 }  // namespace
 
-void Dispatch(RequestTurn& turn, OpenRequest& open) {
-  const ServiceLoad& load = turn.tier.services[open.service];
+void Dispatch(RequestContext& context, OpenRequest& open) {
+  const ServiceLoad& load = context.tier.services[open.service];
   const bool interactive = open.traffic_class == TrafficClass::kInteractive;
   const bool has_queued_ahead =
       !load.interactive.empty() || (!interactive && !load.bulk.empty());
   if (has_queued_ahead) {
-    Enqueue(turn, open);
+    Enqueue(context, open);
     return;
   }
-  const Choice choice = ChooseBackendFor(turn, open);
+  const Choice choice = ChooseBackendFor(context, open);
   switch (choice.kind) {
     case Choice::Kind::kChosen:
-      SendAttempt(turn, open, choice.backend);
+      SendAttempt(context, open, choice.backend);
       return;
     case Choice::Kind::kFull:
-      Enqueue(turn, open);
+      Enqueue(context, open);
       return;
     case Choice::Kind::kNone:
       open.phase = RequestPhase::kQueued;
-      FinishNotRun(turn, open, "no backend server announces the service");
+      FinishNotRun(context, open, "no backend server announces the service");
       return;
   }
 }
 
-void DrainQueues(RequestTurn& turn) {
-  for (auto& [name, load] : turn.tier.services) {
-    DrainQueue(turn, load.interactive);
+void DrainQueues(RequestContext& context) {
+  for (auto& [name, load] : context.tier.services) {
+    DrainQueue(context, load.interactive);
     if (load.interactive.empty()) {
-      DrainQueue(turn, load.bulk);
+      DrainQueue(context, load.bulk);
     }
   }
 }
--- a/Source/Requests/RequestTier.cc
+++ b/Source/Requests/RequestTier.cc
@@ -41,21 +41,21 @@
 }
 
 /// Removes the request. Sends the response unless the caller disconnected.
-void CloseRequest(RequestTurn& turn, OpenRequest& open,
+void CloseRequest(RequestContext& context, OpenRequest& open,
                   const wire::Answer& answer) {
   if (!open.caller_disconnected) {
-    turn.effects.emplace_back(AnswerCaller{.id = open.id, .answer = answer});
+    context.effects.emplace_back(AnswerCaller{.id = open.id, .answer = answer});
   }
-  turn.tier.attempts.erase(open.attempt);
-  turn.tier.attempts.erase(open.claim.attempt);
-  turn.tier.open.erase(open.id);
+  context.tier.attempts.erase(open.attempt);
+  context.tier.attempts.erase(open.claim.attempt);
+  context.tier.open.erase(open.id);
 }
 
-void Reject(RequestTurn& turn, const RequestArrived& event, int status,
+void Reject(RequestContext& context, const RequestArrived& event, int status,
             const std::string& reason) {
-  Count(turn, "refused");
-  turn.effects.emplace_back(AnswerCaller{
-      .id = event.id, .answer = RefusalOf(event.request, status, reason)});
+  Count(context, "refused");
+  context.effects.emplace_back(AnswerCaller{
+      .id = event.id, .answer = BuildRefusal(event.request, status, reason)});
 }
 
 void ApplyRequestRule(OpenRequest& open, const RequestRule* rule,
@@ -75,29 +75,29 @@
   open.deadline = now + allowed;
 }
 
-void HandleArrived(RequestTurn& turn, const RequestArrived& event) {
-  Count(turn, "requests");
-  if (turn.tier.stopping) {
-    Reject(turn, event, kStatusNotRun, "this instance is stopping");
+void HandleArrived(RequestContext& context, const RequestArrived& event) {
+  Count(context, "requests");
+  if (context.tier.stopping) {
+    Reject(context, event, kStatusNotRun, "this instance is stopping");
     return;
   }
   const ServiceRule* service =
-      FindServiceByHost(turn.context.rules, event.request.host);
+      FindServiceByHost(context.environment.rules, event.request.host);
   if (service == nullptr) {
-    Reject(turn, event, 421, "no service has the name in Host");
+    Reject(context, event, 421, "no service has the name in Host");
     return;
   }
   OpenRequest open{.id = event.id,
                    .request = event.request,
                    .service = service->name,
-                   .arrived_at = turn.context.now};
+                   .arrived_at = context.environment.now};
   const RequestRule* rule =
-      FindRequestRule(turn.context.rules, service->name, open.request.method,
-                      open.request.path);
-  ApplyRequestRule(open, rule, turn.context.now);
+      FindRequestRule(context.environment.rules, service->name,
+                      open.request.method, open.request.path);
+  ApplyRequestRule(open, rule, context.environment.now);
   const std::string key = GetHeader(open.request, kKeyHeader);
   if (key.size() > kMaxKeyBytes) {
-    Reject(turn, event, 400, "Idempotency-Key is over 256 bytes");
+    Reject(context, event, 400, "Idempotency-Key is over 256 bytes");
     return;
   }
   const auto generation =
@@ -107,104 +107,107 @@
   if (needs_claim) {
     open.key = service->name + "\n" + key;
   }
-  ServiceLoad& load = turn.tier.services[open.service];
+  ServiceLoad& load = context.tier.services[open.service];
   constexpr double kRetryTokensPerRequest = 0.1;
   constexpr double kMaxRetryTokens = 20.0;
   load.retry_tokens =
       std::min(load.retry_tokens + kRetryTokensPerRequest, kMaxRetryTokens);
   OpenRequest& stored =
-      turn.tier.open.emplace(event.id, std::move(open)).first->second;
+      context.tier.open.emplace(event.id, std::move(open)).first->second;
   if (needs_claim) {
-    StartClaim(turn, stored);
+    StartClaim(context, stored);
   } else {
-    Dispatch(turn, stored);
+    Dispatch(context, stored);
   }
 }
 
-void RemoveFromQueue(RequestTurn& turn, const OpenRequest& open) {
-  ServiceLoad& load = turn.tier.services[open.service];
+void RemoveFromQueue(RequestContext& context, const OpenRequest& open) {
+  ServiceLoad& load = context.tier.services[open.service];
   std::erase(load.interactive, open.id);
   std::erase(load.bulk, open.id);
 }
 
 /// Releases the slot held by the current attempt.
-void ReleaseSlot(RequestTurn& turn, OpenRequest& open) {
-  turn.tier.attempts.erase(open.attempt);
-  ServiceLoad& load = turn.tier.services[open.service];
+void ReleaseSlot(RequestContext& context, OpenRequest& open) {
+  context.tier.attempts.erase(open.attempt);
+  ServiceLoad& load = context.tier.services[open.service];
   load.running -= load.running > 0 ? 1 : 0;
-  const auto backend = turn.context.directory.backends.find(open.backend);
-  if (backend != turn.context.directory.backends.end() &&
+  const auto backend =
+      context.environment.directory.backends.find(open.backend);
+  if (backend != context.environment.directory.backends.end() &&
       backend->second.own_in_flight > 0) {
     backend->second.own_in_flight -= 1;
   }
 }
 
-void RecordAttemptHealth(RequestTurn& turn, const OpenRequest& open,
+void RecordAttemptHealth(RequestContext& context, const OpenRequest& open,
                          bool success) {
-  const auto found = turn.context.directory.backends.find(open.backend);
-  if (found == turn.context.directory.backends.end()) {
+  const auto found = context.environment.directory.backends.find(open.backend);
+  if (found == context.environment.directory.backends.end()) {
     return;
   }
   Backend& backend = found->second;
   if (success) {
     backend.consecutive_failures = 0;
     backend.consecutive_refusals = 0;
-    backend.last_success = turn.context.now;
+    backend.last_success = context.environment.now;
     return;
   }
   backend.consecutive_failures += 1;
-  backend.last_failure = turn.context.now;
+  backend.last_failure = context.environment.now;
 }
 
 /// Marks the server as full: for 10 ms after its first refusal, and twice as
 /// long after each consecutive one, up to 80 ms. A refusal means that other
 /// instances use its slots.
-void RecordRefusal(RequestTurn& turn, const OpenRequest& open) {
+void RecordRefusal(RequestContext& context, const OpenRequest& open) {
   constexpr Milliseconds kInitialPause{10};
   constexpr std::uint32_t kMaxDoublings = 3;
-  const auto found = turn.context.directory.backends.find(open.backend);
-  if (found == turn.context.directory.backends.end()) {
+  const auto found = context.environment.directory.backends.find(open.backend);
+  if (found == context.environment.directory.backends.end()) {
     return;
   }
   Backend& backend = found->second;
   const std::uint32_t doublings =
       std::min(backend.consecutive_refusals, kMaxDoublings);
   backend.consecutive_refusals += 1;
-  backend.full_until = turn.context.now + kInitialPause * (1U << doublings);
+  backend.full_until =
+      context.environment.now + kInitialPause * (1U << doublings);
 }
 
-void RecordServiceTime(RequestTurn& turn, const OpenRequest& open) {
+void RecordServiceTime(RequestContext& context, const OpenRequest& open) {
   constexpr double kSmoothingFactor = 0.1;
-  ServiceLoad& load = turn.tier.services[open.service];
+  ServiceLoad& load = context.tier.services[open.service];
   const auto elapsed_ms = static_cast<double>(
-      MillisecondsBetween(open.attempt_started_at, turn.context.now));
+      MillisecondsBetween(open.attempt_started_at, context.environment.now));
   load.mean_service_ms +=
       (elapsed_ms - load.mean_service_ms) * kSmoothingFactor;
 }
 
-void CancelRunning(RequestTurn& turn, OpenRequest& open) {
-  turn.effects.emplace_back(CancelAttempt{.attempt = open.attempt});
-  ReleaseSlot(turn, open);
+void CancelRunning(RequestContext& context, OpenRequest& open) {
+  context.effects.emplace_back(CancelAttempt{.attempt = open.attempt});
+  ReleaseSlot(context, open);
 }
 
-void HandleCallerDisconnected(RequestTurn& turn, const CallerLeft& event) {
-  const auto found = turn.tier.open.find(event.id);
-  if (found == turn.tier.open.end()) {
+void HandleCallerDisconnected(RequestContext& context,
+                              const CallerDisconnected& event) {
+  const auto found = context.tier.open.find(event.id);
+  if (found == context.tier.open.end()) {
     return;
   }
   OpenRequest& open = found->second;
   open.caller_disconnected = true;
-  Count(turn, "callers_left");
+  Count(context, "callers_left");
   if (open.phase == RequestPhase::kRunning) {
     if (open.idempotent) {
-      CancelRunning(turn, open);
-      CloseRequest(turn, open, {});
+      CancelRunning(context, open);
+      CloseRequest(context, open, {});
     }
     // The server may already run a non-idempotent request, so the attempt is
     // left to end and its outcome is recorded.
     return;
   }
-  FinishNotRun(turn, open, "the caller left");
+  FinishNotRun(context, open, "the caller left");
 }
 
 bool IsRefusedBeforeRunning(const wire::Answer& answer) {
@@ -218,10 +221,10 @@
                      });
 }
 
-bool TakeRetryToken(RequestTurn& turn, const OpenRequest& open) {
-  ServiceLoad& load = turn.tier.services[open.service];
+bool TakeRetryToken(RequestContext& context, const OpenRequest& open) {
+  ServiceLoad& load = context.tier.services[open.service];
   if (load.retry_tokens < 1.0) {
-    Count(turn, "retries_over_budget");
+    Count(context, "retries_over_budget");
     return false;
   }
   load.retry_tokens -= 1.0;
@@ -230,200 +233,204 @@
 
 /// Dispatches the request again after an attempt that did not run. This does
 /// not consume a retry token.
-void RetryOnOtherServer(RequestTurn& turn, OpenRequest& open,
+void RetryOnOtherServer(RequestContext& context, OpenRequest& open,
                         std::uint32_t max_attempts) {
   open.tried.insert(open.backend);
-  if (open.attempts >= max_attempts || turn.context.now >= open.deadline) {
-    FinishNotRun(turn, open, "the backend servers refused it");
+  if (open.attempts >= max_attempts ||
+      context.environment.now >= open.deadline) {
+    FinishNotRun(context, open, "the backend servers refused it");
     return;
   }
-  Dispatch(turn, open);
+  Dispatch(context, open);
 }
 
 /// Dispatches the request again after an attempt that may have run, if it is
 /// idempotent and has a retry and a retry token left. Otherwise finishes it.
-void RetryOrGiveUp(RequestTurn& turn, OpenRequest& open,
+void RetryOrGiveUp(RequestContext& context, OpenRequest& open,
                    const std::string& reason) {
   open.tried.insert(open.backend);
   open.may_have_run = true;
   const bool may_retry = open.idempotent && open.retries_left > 0 &&
-                         turn.context.now < open.deadline;
-  if (may_retry && TakeRetryToken(turn, open)) {
+                         context.environment.now < open.deadline;
+  if (may_retry && TakeRetryToken(context, open)) {
     open.retries_left -= 1;
-    Count(turn, "retries");
-    Dispatch(turn, open);
+    Count(context, "retries");
+    Dispatch(context, open);
     return;
   }
-  FinishUnknown(turn, open, reason);
+  FinishUnknown(context, open, reason);
 }
 
-void HandleAttemptEnded(RequestTurn& turn, const AttemptEnded& event) {
-  const auto request = turn.tier.attempts.find(event.attempt);
-  if (request == turn.tier.attempts.end()) {
+void HandleAttemptEnded(RequestContext& context, const AttemptEnded& event) {
+  const auto request = context.tier.attempts.find(event.attempt);
+  if (request == context.tier.attempts.end()) {
     return;  // The attempt was cancelled; its late response is discarded.
   }
-  OpenRequest& open = turn.tier.open.at(request->second);
-  ReleaseSlot(turn, open);
+  OpenRequest& open = context.tier.open.at(request->second);
+  ReleaseSlot(context, open);
   switch (event.result.kind) {
     case AttemptResult::Kind::kAnswered:
       if (IsRefusedBeforeRunning(event.result.answer)) {
-        Count(turn, "refused_by_backend");
-        RecordRefusal(turn, open);
-        RetryOnOtherServer(turn, open, kMaxRefusedAttempts);
+        Count(context, "refused_by_backend");
+        RecordRefusal(context, open);
+        RetryOnOtherServer(context, open, kMaxRefusedAttempts);
         break;
       }
-      RecordAttemptHealth(turn, open, event.result.answer.status() < 500);
-      RecordServiceTime(turn, open);
-      FinishComplete(turn, open, event.result.answer);
+      RecordAttemptHealth(context, open, event.result.answer.status() < 500);
+      RecordServiceTime(context, open);
+      FinishComplete(context, open, event.result.answer);
       break;
     case AttemptResult::Kind::kNotSent:
-      RecordAttemptHealth(turn, open, false);
-      Count(turn, "attempts_not_sent");
-      RetryOnOtherServer(turn, open, kMaxUnsentAttempts);
+      RecordAttemptHealth(context, open, false);
+      Count(context, "attempts_not_sent");
+      RetryOnOtherServer(context, open, kMaxUnsentAttempts);
       break;
     case AttemptResult::Kind::kLost:
-      RecordAttemptHealth(turn, open, false);
-      Count(turn, "attempts_lost");
-      RetryOrGiveUp(turn, open, "the connection to the backend server failed");
+      RecordAttemptHealth(context, open, false);
+      Count(context, "attempts_lost");
+      RetryOrGiveUp(context, open,
+                    "the connection to the backend server failed");
       break;
   }
-  DrainQueues(turn);
+  DrainQueues(context);
 }
 
 /// Handles the deadline and time-outs of a request. May close the request.
-void ExpireRequest(RequestTurn& turn, OpenRequest& open) {
-  const TimePoint now = turn.context.now;
+void ExpireRequest(RequestContext& context, OpenRequest& open) {
+  const TimePoint now = context.environment.now;
   switch (open.phase) {
     case RequestPhase::kClaiming:
     case RequestPhase::kClaimBackoff:
       if (now >= open.deadline) {
-        WithdrawClaim(turn, open);
+        WithdrawClaim(context, open);
         open.claim.recorders.clear();
-        FinishUnknown(turn, open,
+        FinishUnknown(context, open,
                       "the order's recorders did not settle it in time");
         return;
       }
-      AdvanceClaim(turn, open);
+      AdvanceClaim(context, open);
       return;
     case RequestPhase::kQueued:
       if (now >= open.deadline) {
-        FinishNotRun(turn, open, "no slot was free in time");
+        FinishNotRun(context, open, "no slot was free in time");
       }
       return;
     case RequestPhase::kRunning:
       if (now >= open.deadline || now >= open.attempt_deadline) {
-        RecordAttemptHealth(turn, open, false);
-        CancelRunning(turn, open);
-        RetryOrGiveUp(turn, open, "no answer came in time");
+        RecordAttemptHealth(context, open, false);
+        CancelRunning(context, open);
+        RetryOrGiveUp(context, open, "no answer came in time");
       }
       return;
   }
 }
 
-void HandleTick(RequestTurn& turn) {
+void HandleTick(RequestContext& context) {
   std::vector<std::uint64_t> ids;
-  for (const auto& [id, open] : turn.tier.open) {
+  for (const auto& [id, open] : context.tier.open) {
     ids.push_back(id);
   }
   for (const std::uint64_t id : ids) {
-    const auto open = turn.tier.open.find(id);
-    if (open != turn.tier.open.end()) {
-      ExpireRequest(turn, open->second);
+    const auto open = context.tier.open.find(id);
+    if (open != context.tier.open.end()) {
+      ExpireRequest(context, open->second);
     }
   }
   constexpr Milliseconds kWithdrawnRetention{30000};
-  std::erase_if(turn.tier.withdrawn, [&](const auto& item) {
-    return turn.context.now - item.second > kWithdrawnRetention;
+  std::erase_if(context.tier.withdrawn, [&](const auto& item) {
+    return context.environment.now - item.second > kWithdrawnRetention;
   });
-  DrainQueues(turn);
+  DrainQueues(context);
 }
 
 struct EventVisitor {
-  RequestTurn& turn;
+  RequestContext& context;
   void operator()(const RequestArrived& event) {
-    HandleArrived(this->turn, event);
+    HandleArrived(this->context, event);
   }
-  void operator()(const CallerLeft& event) {
-    HandleCallerDisconnected(this->turn, event);
+  void operator()(const CallerDisconnected& event) {
+    HandleCallerDisconnected(this->context, event);
   }
   void operator()(const AttemptEnded& event) {
-    HandleAttemptEnded(this->turn, event);
+    HandleAttemptEnded(this->context, event);
   }
   void operator()(const ClaimAnswered& event) {
-    HandleClaimAnswered(this->turn, event);
+    HandleClaimAnswered(this->context, event);
   }
-  void operator()(const RequestTick&) { HandleTick(this->turn); }
+  void operator()(const RequestTick&) { HandleTick(this->context); }
 };
 
 }  // namespace
 
-wire::Answer RefusalOf(const HttpRequest& request, int status,
-                       const std::string& reason) {
+wire::Answer BuildRefusal(const HttpRequest& request, int status,
+                          const std::string& reason) {
   // Another instance may have run a copy of a request with a key.
   const bool has_key = !GetHeader(request, kKeyHeader).empty();
   return BuildPlainAnswer(status, has_key ? "unknown" : "not-run", reason);
 }
 
 std::vector<RequestEffect> Reduce(RequestTier& tier, const RequestEvent& event,
-                                  RequestContext context) {
+                                  RequestEnvironment environment) {
   std::vector<RequestEffect> effects;
-  RequestTurn turn{.tier = tier, .context = context, .effects = effects};
-  std::visit(EventVisitor{.turn = turn}, event);
+  RequestContext context{
+      .tier = tier, .environment = environment, .effects = effects};
+  std::visit(EventVisitor{.context = context}, event);
   return effects;
 }
 
-void Count(RequestTurn& turn, const std::string& counter) {
-  turn.tier.counters[counter] += 1;
+void Count(RequestContext& context, const std::string& counter) {
+  context.tier.counters[counter] += 1;
 }
 
-void FinishComplete(RequestTurn& turn, OpenRequest& open,
+void FinishComplete(RequestContext& context, OpenRequest& open,
                     const wire::Answer& answer) {
-  Count(turn, "answered");
+  Count(context, "answered");
   wire::Answer whole = answer;
   wire::HeaderField& field = *whole.add_headers();
   field.set_name(std::string(kOutcomeHeader));
   field.set_value("complete");
   if (!open.key.empty() && whole.body().size() <= kMaxRecordedBodyBytes) {
-    SendOutcomes(turn, open, wire::DONE, whole);
+    SendOutcomes(context, open, wire::DONE, whole);
   }
-  CloseRequest(turn, open, whole);
+  CloseRequest(context, open, whole);
 }
 
-void FinishNotRun(RequestTurn& turn, OpenRequest& open,
+void FinishNotRun(RequestContext& context, OpenRequest& open,
                   const std::string& reason) {
-  RemoveFromQueue(turn, open);
+  RemoveFromQueue(context, open);
   if (open.may_have_run) {
-    FinishUnknown(turn, open, reason);
+    FinishUnknown(context, open, reason);
     return;
   }
-  Count(turn, "not_run");
+  Count(context, "not_run");
   if (open.phase == RequestPhase::kClaiming ||
       open.phase == RequestPhase::kClaimBackoff) {
     // This instance did not dispatch the order, but another instance may have
     // dispatched a copy.
-    WithdrawClaim(turn, open);
-    CloseRequest(turn, open,
+    WithdrawClaim(context, open);
+    CloseRequest(context, open,
                  BuildPlainAnswer(kStatusUnknown, "unknown", reason));
     return;
   }
   const wire::Answer answer =
       BuildPlainAnswer(kStatusNotRun, "not-run", reason);
   if (!open.key.empty()) {
-    SendOutcomes(turn, open, wire::NOT_RUN, answer);
+    SendOutcomes(context, open, wire::NOT_RUN, answer);
   }
-  CloseRequest(turn, open, answer);
+  CloseRequest(context, open, answer);
 }
 
-void FinishUnknown(RequestTurn& turn, OpenRequest& open,
+void FinishUnknown(RequestContext& context, OpenRequest& open,
                    const std::string& reason) {
-  Count(turn, "unknown");
-  CloseRequest(turn, open, BuildPlainAnswer(kStatusUnknown, "unknown", reason));
+  Count(context, "unknown");
+  CloseRequest(context, open,
+               BuildPlainAnswer(kStatusUnknown, "unknown", reason));
 }
 
-void FinishFromRecord(RequestTurn& turn, OpenRequest& open,
+void FinishFromRecord(RequestContext& context, OpenRequest& open,
                       const wire::OrderRecord& record) {
-  Count(turn, "answered_from_record");
-  CloseRequest(turn, open, record.answer());
+  Count(context, "answered_from_record");
+  CloseRequest(context, open, record.answer());
 }
 
 }  // namespace filbertwall
--- a/Source/Requests/RequestTier.h
+++ b/Source/Requests/RequestTier.h
@@ -126,7 +126,7 @@
 };
 
 /// Inputs to the handling of an event, besides the state in RequestTier.
-struct RequestContext {
+struct RequestEnvironment {
   const Rules& rules;
   Directory& directory;
   /// Peers not heard from within the peer time-out, or not at all.
@@ -138,7 +138,7 @@
   std::uint64_t id = 0;
   HttpRequest request;
 };
-struct CallerLeft {
+struct CallerDisconnected {
   std::uint64_t id = 0;
 };
 struct AttemptEnded {
@@ -150,8 +150,8 @@
   wire::ClaimReply reply;
 };
 struct RequestTick {};
-using RequestEvent = std::variant<RequestArrived, CallerLeft, AttemptEnded,
-                                  ClaimAnswered, RequestTick>;
+using RequestEvent = std::variant<RequestArrived, CallerDisconnected,
+                                  AttemptEnded, ClaimAnswered, RequestTick>;
 
 struct StartAttempt {
   std::uint64_t attempt = 0;
@@ -179,11 +179,11 @@
 /// Returns the response to a request that this instance rejects on arrival.
 /// The outcome is "not-run" for a request without a key and "unknown" for one
 /// with a key, since another instance may have run a copy. Pure.
-wire::Answer RefusalOf(const HttpRequest& request, int status,
-                       const std::string& reason);
+wire::Answer BuildRefusal(const HttpRequest& request, int status,
+                          const std::string& reason);
 
 /// Applies the event to the state and returns the resulting effects in order.
 std::vector<RequestEffect> Reduce(RequestTier& tier, const RequestEvent& event,
-                                  RequestContext context);
+                                  RequestEnvironment environment);
 
 }  // namespace filbertwall
--- a/Source/Requests/RequestTurn.h
+++ b/Source/Requests/RequestTurn.h
@@ -14,51 +14,51 @@
 inline constexpr Milliseconds kClaimTimeout{1000};
 
 /// State, inputs and collected effects during the handling of one event.
-struct RequestTurn {
+struct RequestContext {
   RequestTier& tier;
-  RequestContext& context;
+  RequestEnvironment& environment;
   std::vector<RequestEffect>& effects;
 };
 
 /// Increments the counter.
-void Count(RequestTurn& turn, const std::string& counter);
+void Count(RequestContext& context, const std::string& counter);
 
 /// Each of the following Finish functions sends a response to the caller and
 /// closes the request. The reference `open` is invalid afterwards.
 
 /// Returns the backend server's response to the caller and, for an order,
 /// reports it to the recorders as the outcome, unless its body is over 64 KiB.
-void FinishComplete(RequestTurn& turn, OpenRequest& open,
+void FinishComplete(RequestContext& context, OpenRequest& open,
                     const wire::Answer& answer);
 /// Reports "not-run", or "unknown" if an attempt or another copy of the order
 /// may have run.
 /// Precondition: no attempt of the request can still be running.
-void FinishNotRun(RequestTurn& turn, OpenRequest& open,
+void FinishNotRun(RequestContext& context, OpenRequest& open,
                   const std::string& reason);
 /// Reports "unknown". Sends no outcome, so the recorders keep the INTENT of an
 /// order and its copies get "unknown" as well.
-void FinishUnknown(RequestTurn& turn, OpenRequest& open,
+void FinishUnknown(RequestContext& context, OpenRequest& open,
                    const std::string& reason);
 /// Returns the recorded outcome of another copy of the order.
-void FinishFromRecord(RequestTurn& turn, OpenRequest& open,
+void FinishFromRecord(RequestContext& context, OpenRequest& open,
                       const wire::OrderRecord& record);
 
 /// Sends the request to a backend server, queues it, or rejects it.
-void Dispatch(RequestTurn& turn, OpenRequest& open);
+void Dispatch(RequestContext& context, OpenRequest& open);
 /// Dispatches queued requests to free slots, interactive requests first.
-void DrainQueues(RequestTurn& turn);
+void DrainQueues(RequestContext& context);
 
 /// Sends a new claim to the first recorder of the order's key.
-void StartClaim(RequestTurn& turn, OpenRequest& open);
-void HandleClaimAnswered(RequestTurn& turn, const ClaimAnswered& event);
+void StartClaim(RequestContext& context, OpenRequest& open);
+void HandleClaimAnswered(RequestContext& context, const ClaimAnswered& event);
 /// Handles the time-outs of a claim. When the first recorder does not reply in
 /// time, sends the claim to the others; when these do not, withdraws the claim
 /// and schedules a retry; when the retry is due, starts it.
-void AdvanceClaim(RequestTurn& turn, OpenRequest& open);
+void AdvanceClaim(RequestContext& context, OpenRequest& open);
 /// Withdraws a claim that was not dispatched from the recorders it was sent to.
-void WithdrawClaim(RequestTurn& turn, OpenRequest& open);
+void WithdrawClaim(RequestContext& context, OpenRequest& open);
 /// Sends the outcome of the order to all recorders of its key.
-void SendOutcomes(RequestTurn& turn, const OpenRequest& open,
+void SendOutcomes(RequestContext& context, const OpenRequest& open,
                   wire::OrderPhase phase, const wire::Answer& answer);
 
 }  // namespace filbertwall
--- a/Source/Rules/Explain.cc
+++ b/Source/Rules/Explain.cc
@@ -4,8 +4,8 @@
 namespace {
 
 std::string FormatOrigin(const Origin& origin) {
-  return "line " + std::to_string(origin.line) + ", asked by " + origin.asker +
-         "\n";
+  return "line " + std::to_string(origin.line) + ", asked by " +
+         origin.requester + "\n";
 }
 
 Explanation ExplainFlow(const Rules& rules, const std::string& text) {
--- a/Source/Rules/Rules.cc
+++ b/Source/Rules/Rules.cc
@@ -50,8 +50,8 @@
          method == "DELETE" || method == "OPTIONS" || method == "TRACE";
 }
 
-std::uint32_t WeightOf(const Rules& rules, const std::string& service,
-                       const Endpoint& backend) {
+std::uint32_t GetBackendWeight(const Rules& rules, const std::string& service,
+                               const Endpoint& backend) {
   for (const WeightRule& rule : rules.weights) {
     if (rule.service == service && rule.backend == backend) {
       return rule.weight;
--- a/Source/Rules/Rules.h
+++ b/Source/Rules/Rules.h
@@ -30,7 +30,7 @@
 /// Line of a rule in the file, and who requested it.
 struct Origin {
   int line = 0;
-  std::string asker;  ///< The NAME in the comment `# by: NAME`.
+  std::string requester;  ///< The NAME in the comment `# by: NAME`.
 };
 
 /// Properties of a service that do not affect server selection. They are stored
@@ -52,32 +52,32 @@
 };
 
 /// A service that receives a weighted share of the new flows to an address.
-struct SharedService {
+struct WeightedService {
   std::string service;
   std::uint32_t weight = 1;
-  bool operator==(const SharedService&) const = default;
+  bool operator==(const WeightedService&) const = default;
 };
 
 /// Whether the requests inside a flow may be retried.
 enum class RouteKind { kUnsafe, kSafe, kDownload };
 
 /// Settings for the flows to one address.
-struct RouteTreatment {
+struct RouteSettings {
   std::string name;  ///< For operators; may be empty.
   RouteKind kind = RouteKind::kUnsafe;
   Milliseconds timeout{2000};
   Milliseconds objective{0};   ///< Latency objective; 0: none.
   std::uint32_t priority = 0;  ///< 0 is the highest.
   std::uint32_t attempts = 1;
-  bool operator==(const RouteTreatment&) const = default;
+  bool operator==(const RouteSettings&) const = default;
 };
 
 struct AddressRule {
   Endpoint address;
   std::string service;  ///< The first of `shares`.
-  std::vector<SharedService> shares;
+  std::vector<WeightedService> shares;
   bool weighted = false;  ///< The line sets a weight.
-  RouteTreatment treatment;
+  RouteSettings route_settings;
   Origin origin;
 };
 
@@ -147,7 +147,7 @@
 bool IsIdempotent(const RequestRule* rule, const std::string& method);
 
 /// Returns the weight of a backend server, 1 if no rule sets it.
-std::uint32_t WeightOf(const Rules& rules, const std::string& service,
-                       const Endpoint& backend);
+std::uint32_t GetBackendWeight(const Rules& rules, const std::string& service,
+                               const Endpoint& backend);
 
 }  // namespace filbertwall
--- a/Source/Rules/RulesParser.cc
+++ b/Source/Rules/RulesParser.cc
@@ -37,8 +37,8 @@
 void ReportConflict(Parser& parser, const Origin& earlier) {
   Report(parser, parser.line_text,
          "no other wish than line " + std::to_string(earlier.line) +
-             "; asked by \"" + parser.origin.asker +
-             "\", and against it by \"" + earlier.asker + "\"");
+             "; asked by \"" + parser.origin.requester +
+             "\", and against it by \"" + earlier.requester + "\"");
 }
 
 /// Splits "key=value" words. Reports each unknown key, duplicate key and word
@@ -203,7 +203,7 @@
   std::uint64_t total = 0;
   for (const std::string& part : SplitAt(word, ',')) {
     const std::vector<std::string> sides = SplitAt(part, '=');
-    SharedService share{.service = sides[0]};
+    WeightedService share{.service = sides[0]};
     if (sides.size() > 1) {
       const auto weight = ParseNumber(sides[1], 0, kMaxShareWeight);
       if (sides.size() > 2 || !weight) {
@@ -223,24 +223,24 @@
 }
 
 void ParseRouteSettings(Parser& parser, const std::vector<std::string>& words,
-                        RouteTreatment& treatment) {
+                        RouteSettings& route_settings) {
   const Options options = ParseOptions(
       parser, words, 3,
       {"name", "kind", "timeout", "objective", "priority", "attempts"});
-  ReadTextOption(options, "name", treatment.name);
+  ReadTextOption(options, "name", route_settings.name);
   ReadChoiceOption<RouteKind>(parser, options, "kind",
                               {{"unsafe", RouteKind::kUnsafe},
                                {"safe", RouteKind::kSafe},
                                {"download", RouteKind::kDownload}},
-                              treatment.kind);
+                              route_settings.kind);
   ReadDurationOption(parser, options, "timeout", Milliseconds(1),
-                     treatment.timeout);
+                     route_settings.timeout);
   ReadDurationOption(parser, options, "objective", Milliseconds(0),
-                     treatment.objective);
+                     route_settings.objective);
   ReadNumberOption(parser, options, "priority", 0, kMaxNumber,
-                   treatment.priority);
+                   route_settings.priority);
   ReadNumberOption(parser, options, "attempts", 0, kMaxNumber,
-                   treatment.attempts);
+                   route_settings.attempts);
 }
 
 void ParseBounds(Parser& parser, const std::vector<std::string>& words) {
@@ -271,7 +271,7 @@
   }
   AddressRule rule{.origin = parser.origin};
   ParseShares(parser, words[2], rule);
-  ParseRouteSettings(parser, words, rule.treatment);
+  ParseRouteSettings(parser, words, rule.route_settings);
   const auto endpoint = ParseEndpointWord(parser, words[1]);
   if (!endpoint || rule.shares.empty()) {
     return;
@@ -280,7 +280,7 @@
   const auto [position, added] =
       parser.result.rules.addresses.emplace(*endpoint, rule);
   if (!added && (position->second.shares != rule.shares ||
-                 position->second.treatment != rule.treatment)) {
+                 position->second.route_settings != rule.route_settings)) {
     ReportConflict(parser, position->second.origin);
   }
 }
@@ -404,11 +404,11 @@
     comment = Trim(line.substr(hash + 1));
   }
   parser.line_text = std::string(rule);
-  parser.origin.asker.clear();
+  parser.origin.requester.clear();
   if (comment.starts_with(kRequesterPrefix)) {
-    parser.origin.asker = Trim(comment.substr(kRequesterPrefix.size()));
+    parser.origin.requester = Trim(comment.substr(kRequesterPrefix.size()));
   }
-  if (parser.origin.asker.empty()) {
+  if (parser.origin.requester.empty()) {
     Report(parser, parser.line_text,
            "a comment that names who asked for it: # by: NAME");
   }
@@ -428,7 +428,7 @@
 void CheckReferences(Parser& parser) {
   const Rules& rules = parser.result.rules;
   for (const auto& [endpoint, rule] : rules.addresses) {
-    for (const SharedService& share : rule.shares) {
+    for (const WeightedService& share : rule.shares) {
       CheckReference(parser, share.service, rule.origin);
     }
   }
